--- a/wisteriastair/core/calls.py
+++ b/wisteriastair/core/calls.py
@@ -9,13 +9,13 @@
 
 from typing import Final
 
-from .dispatch import Dispatcher, Place
+from .dispatch import CallTarget, Dispatcher
 from .hashing import address_of
 from .outbox import Outbox
 from .peers import Peers
 from .program import SPAWN, ModelStep, ToolStep
 from .records import CallEnded, CallIntended, TextAppended
-from .running import Running, RunningPrograms
+from .running import RunningProgram, RunningPrograms
 from .wire import (
     CallId,
     CallPending,
@@ -65,33 +65,37 @@
         self._peers = peers
         self._out = out
 
-    def intend_model(self, run: Running, step: ModelStep) -> None:
+    def intend_model(self, run: RunningProgram, step: ModelStep) -> None:
         """Append the intent of a model call, or wait if no server is there now."""
         program = run.program
         service = self._programs.service(run)
-        place = self._dispatcher.place_model(
-            program, service, self._programs.config, run.avoid, self._programs.now
+        place = self._dispatcher.choose_model_server(
+            program,
+            service,
+            self._programs.config,
+            run.avoid_server,
+            self._programs.now,
         )
         if place is None:
             run.not_before = self._programs.now + NO_SERVER_WAIT_S
             return
-        reserved = step.prompt_bound + step.max_tokens
+        reserved = step.prompt_token_bound + step.max_tokens
         self._intend(run, step, "model", place, "", True, reserved)
 
-    def intend_tool(self, run: Running, step: ToolStep) -> None:
+    def intend_tool(self, run: RunningProgram, step: ToolStep) -> None:
         """Append the intent of a tool call, or wait if no server is there now."""
         tools = {tool.name: tool for tool in self._programs.service(run).tools}
         tool = tools.get(step.action.name)
         argument = step.action.argument
         if tool is None or step.action.name == SPAWN:
-            place = Place("", "", step.action.name)
+            place = CallTarget("", "", step.action.name)
             self._intend(run, step, "tool", place, argument, True, 0)
             return
-        found = self._dispatcher.place_tool(
+        found = self._dispatcher.choose_tool_server(
             run.program,
             tool.provider,
             self._programs.config,
-            run.avoid,
+            run.avoid_server,
             self._programs.now,
         )
         if found is None:
@@ -102,10 +106,10 @@
 
     def _intend(
         self,
-        run: Running,
+        run: RunningProgram,
         step: ModelStep | ToolStep,
         kind: str,
-        place: Place,
+        place: CallTarget,
         body: str,
         repeatable: bool,
         reserved: int,
@@ -125,7 +129,7 @@
         )
         self._programs.append(run, record)
 
-    def dispatch(self, run: Running, intent: CallIntended) -> None:
+    def dispatch(self, run: RunningProgram, intent: CallIntended) -> None:
         """Send a call whose intent is committed to its gate."""
         run.asked_at = run.heard_at = self._programs.now
         if not intent.server:
@@ -135,7 +139,7 @@
         start = program.start
         model = intent.kind == "model"
         body = program.model_body(program.partial) if model else intent.body
-        bound = program.prompt_bound() if model else 0
+        bound = program.prompt_token_bound() if model else 0
         limits = start.limits
         call = GateCall(
             CallId(start.program, intent.number, intent.attempt),
@@ -158,13 +162,13 @@
         )
         self._out.send(intent.gate, call)
 
-    def _remaining_s(self, run: Running) -> float:
+    def _remaining_s(self, run: RunningProgram) -> float:
         start = run.program.start
         return max(0.0, start.started_at + start.limits.wall_s - self._programs.now)
 
     # Answers of gates
 
-    def _open_call(self, call: CallId) -> Running | None:
+    def _open_call(self, call: CallId) -> RunningProgram | None:
         """Return the program whose open call this is; anything else is late."""
         run = self._programs.by_name.get(call.program)
         if run is None or run.program.call is None or run.ending:
@@ -205,17 +209,17 @@
         run = self._open_call(result.call)
         if run is None or not self._programs.may_append(run):
             return
-        self._dispatcher.learn(run.program, result, self._programs.now)
+        self._dispatcher.record_result(run.program, result, self._programs.now)
         if result.status != "ok":
-            run.avoid = result.server
+            run.avoid_server = result.server
             asked = min(result.retry_after_s, RETRY_WAIT_MAX_S)
             wait = max(asked, _retry_wait_s(result.call.attempt))
             run.not_before = self._programs.now + wait
         else:
-            run.avoid = ""
+            run.avoid_server = ""
         self._append_end(run, result)
 
-    def _append_end(self, run: Running, result: CallResult) -> None:
+    def _append_end(self, run: RunningProgram, result: CallResult) -> None:
         skip = run.text_length - run.program.call_base
         text = result.text[skip:] if result.status == "ok" else ""
         record = CallEnded(
@@ -246,11 +250,11 @@
 
     def release(self, server: str, program: str) -> None:
         """Have a server drop what it holds for a program."""
-        instance = self._peers.gate_of(server)
+        instance = self._peers.gate_instance_of(server)
         if instance is not None:
             self._out.send(instance.address, HoldRelease(server, (program,)))
 
-    def watch(self, run: Running, call: CallIntended) -> None:
+    def watch(self, run: RunningProgram, call: CallIntended) -> None:
         """Look a silent call up, or give it up."""
         if not call.server:
             return
@@ -259,7 +263,7 @@
         # A call that must not be repeated is asked about for as long as it may take:
         # giving it up early would make its outcome unknown for no reason.
         patience = GATE_LOST_S if call.repeatable else max(GATE_LOST_S, limit)
-        gone = self._peers.is_gone(call.gate) and silent > LOOKUP_S
+        gone = self._peers.is_confirmed_down(call.gate) and silent > LOOKUP_S
         overdue = (
             call.kind == "tool" and self._programs.now - call.intended_at > limit + 1.0
         )
@@ -269,17 +273,17 @@
         elif self._programs.now - run.asked_at > LOOKUP_S:
             self.look_up(run, call)
 
-    def _lose(self, run: Running, call: CallIntended) -> None:
+    def _lose(self, run: RunningProgram, call: CallIntended) -> None:
         if self._programs.may_append(run):
-            run.avoid = call.server
+            run.avoid_server = call.server
             run.not_before = self._programs.now + _retry_wait_s(call.attempt)
             self._append_end(run, _lost_result(call))
 
-    def _ask(self, run: Running) -> None:
+    def _ask(self, run: RunningProgram) -> None:
         if run.program.call is not None:
             self.look_up(run, run.program.call)
 
-    def look_up(self, run: Running, call: CallIntended) -> None:
+    def look_up(self, run: RunningProgram, call: CallIntended) -> None:
         """Ask the gate, whatever its incarnation, what became of a call."""
         run.asked_at = self._programs.now
         if not call.server:
@@ -302,7 +306,7 @@
             for server in self._programs.by_name[name].program.servers:
                 by_server.setdefault(server, []).append(name)
         for server, names in sorted(by_server.items()):
-            instance = self._peers.gate_of(server)
+            instance = self._peers.gate_instance_of(server)
             if instance is not None:
                 self._out.send(instance.address, HoldRenew(server, tuple(names)))
 
--- a/wisteriastair/core/choice.py
+++ b/wisteriastair/core/choice.py
@@ -15,7 +15,7 @@
 from typing import Final, NamedTuple
 
 from .fleet import ServerState
-from .reuse import FIRST_OWN, PromptPart
+from .reuse import FIRST_OWN, PromptSegment
 
 # Share of a server's places that a detour to another failure domain is worth: a little
 # for the way, and more for each byte of the request, since traffic between domains is
@@ -48,14 +48,14 @@
 MOST_DRAWN: Final = 12
 
 
-class Want(NamedTuple):
+class SelectionContext(NamedTuple):
     """What the choice needs to know of a request.
 
     Attributes
     ----------
     domain : str
         Failure domain of this process.
-    parts : tuple of PromptPart
+    parts : tuple of PromptSegment
         Parts of the prompt, those shared most first.
     tried : frozenset of str
         Servers that have refused this request.
@@ -63,23 +63,26 @@
         Size of the request.
     connected : frozenset of str
         Starts of servers to which a channel is open and idle.
-    homes : frozenset of str
+    affinity_servers : frozenset of str
         Servers that the prompt's beginning is led to; empty for no restriction.
     agreed : str
         Server that all processes take for the program's; empty for none.
     """
 
     domain: str
-    parts: tuple[PromptPart, ...]
+    parts: tuple[PromptSegment, ...]
     tried: frozenset[str]
     kilobytes: float
     connected: frozenset[str]
-    homes: frozenset[str] = frozenset()
+    affinity_servers: frozenset[str] = frozenset()
     agreed: str = ""
 
 
-def choose(
-    servers: list[ServerState], want: Want, draw: Callable[[int], int], now: float
+def select_server(
+    servers: list[ServerState],
+    context: SelectionContext,
+    draw: Callable[[int], int],
+    now: float,
 ) -> ServerState | None:
     """Choose a server, or None if there is none left to try.
 
@@ -89,23 +92,23 @@
         Draws a number below the one given.
     """
     left = servers
-    if want.tried:
-        left = [state for state in servers if state.server.id not in want.tried]
+    if context.tried:
+        left = [state for state in servers if state.server.id not in context.tried]
     if not left:
         return None
     if len(left) > MOST_COMPARED:
-        left = _narrowed(left, want, draw)
+        left = _narrowed(left, context, draw)
     times = [state.mean_s for state in left if state.mean_s > 0]
     mean_s = sum(times) / len(times) if times else 0.0
-    agreed = "" if _is_known(want, left) else want.agreed
-    costs = _costs(left, want, agreed, mean_s, now)
+    agreed = "" if _is_known(context, left) else context.agreed
+    costs = _costs(left, context, agreed, mean_s, now)
     near_cost = min(costs) + NEARLY_EQUAL
     near = [state for state, cost in zip(left, costs, strict=True) if cost <= near_cost]
     return near[draw(len(near))]
 
 
 def _narrowed(
-    servers: list[ServerState], want: Want, draw: Callable[[int], int]
+    servers: list[ServerState], context: SelectionContext, draw: Callable[[int], int]
 ) -> list[ServerState]:
     """Leave the servers that something speaks for, and some that are drawn.
 
@@ -113,48 +116,54 @@
     idle channel.  The drawn ones keep many processes that know little of the load from
     meeting at the same servers.
     """
-    own = want.parts[FIRST_OWN].id if len(want.parts) > FIRST_OWN else ""
+    own = context.parts[FIRST_OWN].id if len(context.parts) > FIRST_OWN else ""
     chosen = {
-        state.start: state
+        state.incarnation: state
         for state in servers
-        if state.server.id == want.agreed or (own and own in state.parts)
+        if state.server.id == context.agreed or (own and own in state.cached_segments)
     }
-    idle = [state for state in servers if state.start in want.connected]
-    homes = [state for state in servers if state.server.id in want.homes]
-    for some in (idle, homes, servers):
+    idle = [state for state in servers if state.incarnation in context.connected]
+    affinity_servers = [
+        state for state in servers if state.server.id in context.affinity_servers
+    ]
+    for some in (idle, affinity_servers, servers):
         for _ in range(min(MOST_DRAWN, len(some))):
             state = some[draw(len(some))]
-            chosen[state.start] = state
+            chosen[state.incarnation] = state
     return list(chosen.values())
 
 
-def _is_known(want: Want, servers: list[ServerState]) -> bool:
+def _is_known(context: SelectionContext, servers: list[ServerState]) -> bool:
     """Whether this process has sent the program to one of the servers."""
-    own = want.parts[FIRST_OWN:]
-    return bool(own) and any(own[0].id in state.parts for state in servers)
+    own = context.parts[FIRST_OWN:]
+    return bool(own) and any(own[0].id in state.cached_segments for state in servers)
 
 
 def _costs(
-    states: list[ServerState], want: Want, agreed: str, mean_s: float, now: float
+    states: list[ServerState],
+    context: SelectionContext,
+    agreed: str,
+    mean_s: float,
+    now: float,
 ) -> list[float]:
     """Work out the costs of servers, in shares of their places."""
-    elsewhere = OTHER_DOMAIN + OTHER_DOMAIN_PER_KB * want.kilobytes
-    total = sum(part.tokens for part in want.parts)
+    elsewhere = OTHER_DOMAIN + OTHER_DOMAIN_PER_KB * context.kilobytes
+    total = sum(part.tokens for part in context.parts)
     costs = []
     for state in states:
         server = state.server
         cost = (state.load(now) + 1) / server.slots
-        if server.domain != want.domain:
+        if server.domain != context.domain:
             cost += elsewhere
-        if state.start not in want.connected:
+        if state.incarnation not in context.connected:
             cost += CHANNEL_OPEN
-        if want.homes and server.id not in want.homes:
+        if context.affinity_servers and server.id not in context.affinity_servers:
             cost += NOT_A_HOME
         if total > 0 and server.id != agreed:
-            cost += PROMPT_READ * state.parts.lacking(want.parts, total)
+            cost += PROMPT_READ * state.cached_segments.lacking(context.parts, total)
         if state.mean_s > mean_s > 0:
             cost += SLOWNESS * (state.mean_s / mean_s - 1)
-        if state.full_until > now:
+        if state.overloaded_until > now:
             cost += 1.0
         costs.append(cost)
     return costs
--- a/wisteriastair/core/customers.py
+++ b/wisteriastair/core/customers.py
@@ -89,17 +89,17 @@
             del self._by_digest[digest]
         self.problems = tuple(found)
 
-    def holder(self, digest: str) -> Customer | None:
+    def find_by_digest(self, digest: str) -> Customer | None:
         """Return the customer that holds a key, or None."""
         return self._by_digest.get(digest)
 
 
-def digest_of(key: bytes) -> str:
+def digest_key(key: bytes) -> str:
     """Digest by which a key is known; keys are drawn, so it needs no salt."""
     return sha256(key).hexdigest()
 
 
-def scoped(customer: str, name: str) -> str:
+def scoped_name(customer: str, name: str) -> str:
     """Name of a customer's program or turn among those of all customers.
 
     Callers choose these names.  Two customers that choose the same one must not meet
--- a/wisteriastair/core/dispatch.py
+++ b/wisteriastair/core/dispatch.py
@@ -9,7 +9,7 @@
 from typing import Final, NamedTuple
 
 from .config import Config, Service
-from .hashing import hash_word, rank
+from .hashing import hash64, rendezvous_order
 from .peers import Peers
 from .program import Program
 from .routing import Call, Candidate, Router
@@ -26,7 +26,7 @@
 MAX_PREFIXES: Final = 4_096
 
 
-class Place(NamedTuple):
+class CallTarget(NamedTuple):
     """Where a call goes: a server and the gate incarnation before it."""
 
     server: str
@@ -64,21 +64,31 @@
         self._shared_tokens: dict[str, int] = {}
         self._sequence = 0
 
-    def place_model(
-        self, program: Program, service: Service, config: Config, avoid: str, now: float
-    ) -> Place | None:
+    def choose_model_server(
+        self,
+        program: Program,
+        service: Service,
+        config: Config,
+        avoid_server: str,
+        now: float,
+    ) -> CallTarget | None:
         """Choose a server for the next model call; None if there is none now."""
         for model in service.models:
-            servers = self._servers(config, "model", model, avoid, now)
+            servers = self._servers(config, "model", model, avoid_server, now)
             if servers:
                 return self._choose(program, service, model, servers, now)
         return None
 
-    def place_tool(
-        self, program: Program, provider: str, config: Config, avoid: str, now: float
-    ) -> Place | None:
+    def choose_tool_server(
+        self,
+        program: Program,
+        provider: str,
+        config: Config,
+        avoid_server: str,
+        now: float,
+    ) -> CallTarget | None:
         """Choose a plain server for a tool call."""
-        servers = self._servers(config, "plain", provider, avoid, now)
+        servers = self._servers(config, "plain", provider, avoid_server, now)
         if not servers:
             return None
         service = program.start.definition
@@ -128,7 +138,7 @@
         return view.call_s * (1.0 - middle / view.token_s)
 
     def _servers(
-        self, config: Config, kind: str, target: str, avoid: str, now: float
+        self, config: Config, kind: str, target: str, avoid_server: str, now: float
     ) -> dict[str, str]:
         """Active servers of a kind with the member id of their gate."""
         found: dict[str, str] = {}
@@ -137,16 +147,16 @@
                 continue
             if target not in server.serves:
                 continue
-            instance = self._peers.gate_of(server.name)
+            instance = self._peers.gate_instance_of(server.name)
             if instance is None or instance.leaving:
                 continue
             member = self._peers.member_at(instance.address, now)
-            if not member or self._peers.silent(member, now):
+            if not member or self._peers.is_unresponsive(member, now):
                 continue
             if not self._peers.is_draining(member):
                 found[server.name] = member
         if len(found) > 1:
-            found.pop(avoid, None)
+            found.pop(avoid_server, None)
         return found
 
     def _choose(
@@ -156,22 +166,24 @@
         target: str,
         servers: dict[str, str],
         now: float,
-    ) -> Place:
+    ) -> CallTarget:
         self._sequence += 1
         call = Call(
             program.start.program,
             service.name,
-            program.prompt_bound(),
+            program.prompt_token_bound(),
             service.waste_weight,
             self._sequence,
         )
-        preferred = rank(f"prefix {_prefix_of(program)}", servers)[:PREFERRED]
+        preferred = rendezvous_order(f"prefix {_prefix_of(program)}", servers)[
+            :PREFERRED
+        ]
         candidates = [
             self._candidate(program, name, preferred, now) for name in sorted(servers)
         ]
         chosen = self._router.choose(call, candidates).server
         self._views.setdefault(chosen, _ServerView()).sent_since += 1
-        return Place(chosen, servers[chosen], target)
+        return CallTarget(chosen, servers[chosen], target)
 
     def _candidate(
         self, program: Program, server: str, preferred: list[str], now: float
@@ -183,16 +195,16 @@
         processes prefer for that beginning are taken to have it.
         """
         candidate = self._load_of(server, now)
-        if program.last_tokens == 0:
+        if program.context_tokens == 0:
             cached = self._shared.get((_prefix_of(program), server))
             if cached is None and server in preferred:
                 cached = self._shared_tokens.get(program.start.service, 0)
             return candidate._replace(cached_tokens=cached or 0)
         if server == program.last_server:
-            return candidate._replace(cached_tokens=program.last_tokens)
+            return candidate._replace(cached_tokens=program.context_tokens)
         return candidate
 
-    def learn(self, program: Program, result: CallResult, now: float) -> None:
+    def record_result(self, program: Program, result: CallResult, now: float) -> None:
         """Take a server's load and what it had cached from a result."""
         view = self._views.setdefault(result.server, _ServerView())
         view.load = result.load
@@ -202,7 +214,7 @@
         view.sent_since = 0
         if result.status == "ok" and program.call is not None:
             _learn_speed(view, result, now - program.call.intended_at)
-        if program.last_tokens == 0 and result.status == "ok":
+        if program.context_tokens == 0 and result.status == "ok":
             self._learn_prefix(program, result)
 
     def _learn_prefix(self, program: Program, result: CallResult) -> None:
@@ -232,4 +244,4 @@
 
 def _prefix_of(program: Program) -> int:
     """Tell programs that begin alike, and so share a cached prefix, by a hash."""
-    return hash_word("prefix", program.start.prompt[:PREFIX_CHARS])
+    return hash64("prefix", program.start.prompt[:PREFIX_CHARS])
--- a/wisteriastair/core/docs.py
+++ b/wisteriastair/core/docs.py
@@ -17,7 +17,7 @@
 from typing import Final, NamedTuple
 
 from .events import Effect, Instance, KvWatch, Send
-from .hashing import hash_word, rank
+from .hashing import hash64, rendezvous_order
 from .wire import DocPull, DocPush
 
 FANOUT: Final = 3
@@ -72,7 +72,7 @@
                 for i in self._instances
                 if i.domain == domain and i.role == "side" and not i.leaving
             ]
-            if self._me in rank("watch", peers)[:WATCHERS_PER_DOMAIN]:
+            if self._me in rendezvous_order("watch", peers)[:WATCHERS_PER_DOMAIN]:
                 return True
         return False
 
@@ -124,6 +124,6 @@
         others = [i.address for i in self._instances if i.address != self._me]
         if len(others) <= count:
             return others
-        start = hash_word(self._me, purpose, str(self._rounds))
+        start = hash64(self._me, purpose, str(self._rounds))
         step = max(1, len(others) // count)
         return [others[(start + n * step) % len(others)] for n in range(count)]
--- a/wisteriastair/core/entry.py
+++ b/wisteriastair/core/entry.py
@@ -26,7 +26,7 @@
     Heartbeat,
     ListPrograms,
     Message,
-    NotCarrier,
+    NotPrimary,
     ProgramAttach,
     ProgramCancel,
     ProgramList,
@@ -54,7 +54,7 @@
     patience_s: float = PATIENCE_S
 
 
-class Ask(NamedTuple):
+class RequestSpec(NamedTuple):
     """What a caller asks for.
 
     Attributes
@@ -82,7 +82,7 @@
     trace: str = ""
 
 
-class TextOut(NamedTuple):
+class OutputText(NamedTuple):
     """Output for the caller."""
 
     number: int
@@ -109,7 +109,7 @@
     failure: Failure
 
 
-class Rows(NamedTuple):
+class ProgramRows(NamedTuple):
     """The operators' listing of programs; the last event of a request.
 
     ``missing`` counts carriers that did not answer in time.
@@ -119,10 +119,10 @@
     missing: int
 
 
-CallerEvent = TextOut | Accepted | Done | Refused | Rows
+CallerEvent = OutputText | Accepted | Done | Refused | ProgramRows
 
 
-class ToCaller(NamedTuple):
+class DeliverToCaller(NamedTuple):
     """Hand an event to the caller of a request."""
 
     request: str
@@ -132,17 +132,17 @@
 class _Request:
     """A caller's request while it waits."""
 
-    def __init__(self, ask: Ask, program: str, slot: int, now: float) -> None:
-        self.ask = ask
+    def __init__(self, spec: RequestSpec, program: str, slot: int, now: float) -> None:
+        self.spec = spec
         self.program = program
         self.slot = slot
-        self.number = ask.number
-        self.offset = ask.offset
+        self.number = spec.number
+        self.offset = spec.offset
         self.accepted = False
         self.sent = False
         self.heard_at = now
         self.repeat_at = now
-        self.carrier = ""
+        self.primary = ""
 
 
 class _Listing:
@@ -174,74 +174,76 @@
 
     # Callers
 
-    def ask(self, request: str, ask: Ask, now: float) -> list[Effect | ToCaller]:
+    def submit(
+        self, request: str, spec: RequestSpec, now: float
+    ) -> list[Effect | DeliverToCaller]:
         """Take a caller's request."""
-        program = ask.program or program_id(ask.customer, ask.key)
+        program = spec.program or program_id(spec.customer, spec.key)
         slot = slot_of(program, self._cfg.slots)
-        self._requests[request] = _Request(ask, program, slot, now)
+        self._requests[request] = _Request(spec, program, slot, now)
         return self._push(request, now)
 
-    def leave(self, request: str) -> None:
+    def drop_request(self, request: str) -> None:
         """Forget a request whose caller has gone; its program goes on."""
         self._requests.pop(request, None)
 
     def list_programs(
         self, request: str, customer: str, limit: int, now: float
-    ) -> list[Effect | ToCaller]:
+    ) -> list[Effect | DeliverToCaller]:
         """Ask all carriers for their programs."""
         sides = sorted(
-            {address_of(row.carrier) for row in self.placement.rows.values()}
+            {address_of(row.primary) for row in self.placement.rows.values()}
         )
         if not sides:
-            return [ToCaller(request, Rows((), 0))]
+            return [DeliverToCaller(request, ProgramRows((), 0))]
         self._listings[request] = _Listing(len(sides), now + LIST_WAIT_S)
         question = ListPrograms(request, customer, limit)
         return [Send(side, question) for side in sides]
 
-    def _push(self, request: str, now: float) -> list[Effect | ToCaller]:
+    def _push(self, request: str, now: float) -> list[Effect | DeliverToCaller]:
         """Send a request to the carrier of its slot, if there is one."""
         state = self._requests[request]
         state.repeat_at = now + (RENEW_S if state.accepted else REPEAT_S)
         row = self.placement.rows.get(state.slot)
         if row is None:
             return []
-        state.carrier = row.carrier
+        state.primary = row.primary
         state.sent = True
-        return [Send(row.carrier, self._message(request, state))]
+        return [Send(row.primary, self._message(request, state))]
 
     def _message(self, request: str, state: _Request) -> Message:
-        ask = state.ask
-        if ask.kind == "cancel":
-            return ProgramCancel(request, state.slot, state.program, ask.customer)
-        if ask.kind == "start" and not state.accepted:
+        spec = state.spec
+        if spec.kind == "cancel":
+            return ProgramCancel(request, state.slot, state.program, spec.customer)
+        if spec.kind == "start" and not state.accepted:
             return ProgramStart(
                 request,
                 state.slot,
                 state.program,
-                ask.service,
-                ask.customer,
-                ask.prompt,
-                ask.budget,
-                ask.stream,
-                ask.operation,
-                ask.repeatable,
-                ask.trace,
+                spec.service,
+                spec.customer,
+                spec.prompt,
+                spec.budget,
+                spec.stream,
+                spec.operation,
+                spec.repeatable,
+                spec.trace,
             )
         return ProgramAttach(
             request,
             state.slot,
             state.program,
-            ask.customer,
+            spec.customer,
             state.number,
             state.offset,
-            ask.stream,
+            spec.stream,
         )
 
     # Peers
 
     def receive(
         self, sender: str, message: Message, now: float
-    ) -> list[Effect | ToCaller]:
+    ) -> list[Effect | DeliverToCaller]:
         """Take a message from another process."""
         match message:
             case ProgramText():
@@ -250,14 +252,14 @@
                 return self._on_pending(request, program, now)
             case ProgramOutcome():
                 return self._on_outcome(message)
-            case NotCarrier(request, _):
+            case NotPrimary(request, _):
                 return self._on_moved(sender, request, now)
             case ProgramList(request, rows):
                 return self._on_rows(request, rows)
             case DocPush(key, revision, value):
                 return self.take_doc(key, revision, value)
             case DocPull():
-                effects: list[Effect | ToCaller] = []
+                effects: list[Effect | DeliverToCaller] = []
                 effects += self.docs.on_pull(sender, message)
                 effects += self.docs.compare(sender, message.revisions)
                 return effects
@@ -269,7 +271,9 @@
             case _:
                 return []
 
-    def _on_text(self, message: ProgramText, now: float) -> list[Effect | ToCaller]:
+    def _on_text(
+        self, message: ProgramText, now: float
+    ) -> list[Effect | DeliverToCaller]:
         """Pass on what the caller does not have yet; drop what is late."""
         state = self._requests.get(message.request)
         if state is None or state.program != message.program:
@@ -286,11 +290,11 @@
             return []
         state.number = message.number
         state.offset = have + len(new)
-        return [ToCaller(message.request, TextOut(message.number, have, new))]
+        return [DeliverToCaller(message.request, OutputText(message.number, have, new))]
 
     def _on_pending(
         self, request: str, program: str, now: float
-    ) -> list[Effect | ToCaller]:
+    ) -> list[Effect | DeliverToCaller]:
         state = self._requests.get(request)
         if state is None:
             return []
@@ -298,18 +302,18 @@
         if state.accepted:
             return []
         state.accepted = True
-        return [ToCaller(request, Accepted(program))]
+        return [DeliverToCaller(request, Accepted(program))]
 
-    def _on_outcome(self, outcome: ProgramOutcome) -> list[Effect | ToCaller]:
+    def _on_outcome(self, outcome: ProgramOutcome) -> list[Effect | DeliverToCaller]:
         state = self._requests.get(outcome.request)
         if state is None or state.program != outcome.program:
             return []
         del self._requests[outcome.request]
-        return [ToCaller(outcome.request, Done(outcome))]
+        return [DeliverToCaller(outcome.request, Done(outcome))]
 
     def _on_moved(
         self, sender: str, request: str, now: float
-    ) -> list[Effect | ToCaller]:
+    ) -> list[Effect | DeliverToCaller]:
         """Ask whoever does not carry the slot for its newer table."""
         state = self._requests.get(request)
         if state is not None:
@@ -318,7 +322,7 @@
 
     def _on_rows(
         self, request: str, rows: tuple[ProgramRow, ...]
-    ) -> list[Effect | ToCaller]:
+    ) -> list[Effect | DeliverToCaller]:
         listing = self._listings.get(request)
         if listing is None:
             return []
@@ -326,10 +330,10 @@
         listing.waiting -= 1
         return self._end_listing(request) if listing.waiting == 0 else []
 
-    def _end_listing(self, request: str) -> list[Effect | ToCaller]:
+    def _end_listing(self, request: str) -> list[Effect | DeliverToCaller]:
         listing = self._listings.pop(request)
         rows = tuple(sorted(listing.rows))
-        return [ToCaller(request, Rows(rows, listing.waiting))]
+        return [DeliverToCaller(request, ProgramRows(rows, listing.waiting))]
 
     # Documents
 
@@ -338,22 +342,22 @@
         self.instances = instances
         return self.docs.set_instances(instances)
 
-    def on_kv(self, event: KvValue | KvWritten) -> list[Effect | ToCaller]:
+    def on_kv(self, event: KvValue | KvWritten) -> list[Effect | DeliverToCaller]:
         """Take a document that this entry read or wrote itself."""
         return self.take_doc(event.key, event.revision, event.value)
 
     def take_doc(
         self, key: str, revision: int, value: bytes
-    ) -> list[Effect | ToCaller]:
+    ) -> list[Effect | DeliverToCaller]:
         """Take a document and pass it on if it is news."""
         if not self.docs.offer(key, revision, value):
             return []
-        effects: list[Effect | ToCaller] = [*self.docs.spread(key)]
+        effects: list[Effect | DeliverToCaller] = [*self.docs.spread(key)]
         if key == CONFIG_KEY:
             self.config = decode_config(value)
             self.revision = revision
         elif key.startswith(SEGMENT_PREFIX):
-            moved = {row.slot for row in self.placement.take(value)}
+            moved = {row.slot for row in self.placement.apply_segment(value)}
             for state in self._requests.values():
                 if state.slot in moved:
                     state.repeat_at = 0.0
@@ -361,9 +365,9 @@
 
     # Time
 
-    def tick(self, now: float) -> list[Effect | ToCaller]:
+    def tick(self, now: float) -> list[Effect | DeliverToCaller]:
         """Repeat, renew, give up."""
-        effects: list[Effect | ToCaller] = [*self.docs.tick(now)]
+        effects: list[Effect | DeliverToCaller] = [*self.docs.tick(now)]
         for request in list(self._requests):
             state = self._requests[request]
             if now - state.heard_at > self._cfg.patience_s:
@@ -375,12 +379,12 @@
                 effects += self._end_listing(request)
         return effects
 
-    def _give_up(self, request: str) -> ToCaller:
+    def _give_up(self, request: str) -> DeliverToCaller:
         state = self._requests.pop(request)
         if not state.sent:
             detail = "no process carries this slot now"
-            failure = Failure(Code.NO_CARRIER, detail, "no", COME_BACK_S)
+            failure = Failure(Code.NO_PRIMARY, detail, "no", COME_BACK_S)
         else:
             detail = "no answer from the carrier; ask again with the same key"
             failure = Failure(Code.TIMED_OUT, detail, "unknown", COME_BACK_S)
-        return ToCaller(request, Refused(state.program, failure))
+        return DeliverToCaller(request, Refused(state.program, failure))
--- a/wisteriastair/core/events.py
+++ b/wisteriastair/core/events.py
@@ -89,7 +89,7 @@
     completion_tokens: int
 
 
-class BackendHeld(NamedTuple):
+class BackendCacheReport(NamedTuple):
     """Programs for which a model engine reports that it holds memory."""
 
     server: str
@@ -110,7 +110,7 @@
     | KvUnknown
     | BackendText
     | BackendEnded
-    | BackendHeld
+    | BackendCacheReport
     | StopRequested
 )
 
@@ -166,7 +166,7 @@
     """A planned stop is complete; the process may exit."""
 
 
-class Note(NamedTuple):
+class LogMessage(NamedTuple):
     """Something an operator may want to read in the log.
 
     Attributes
@@ -193,5 +193,5 @@
     | BackendCancel
     | BackendRelease
     | Drained
-    | Note
+    | LogMessage
 )
--- a/wisteriastair/core/fleet.py
+++ b/wisteriastair/core/fleet.py
@@ -18,12 +18,12 @@
 
 from typing import Final, NamedTuple
 
-from .reuse import KnownParts
+from .reuse import CachedSegments
 
 # Failures in a row after which a server rests, and for how long, in seconds.  One lost
 # answer says little; three in a row at the usual one in thirty do not happen by chance.
-FAILURES_TO_REST: Final = 3
-REST_S: Final = 1.0
+EJECTION_FAILURES: Final = 3
+EJECTION_S: Final = 1.0
 # With at least this many servers one failure is enough.  A process then sends each of
 # them little, so three in a row take seconds to come together, and a server that fails
 # at once looks idle all that time; and where one of a dozen rests for a second without
@@ -31,7 +31,7 @@
 SERVERS_TO_SUSPECT: Final = 12
 REST_MAX_S: Final = 8.0
 # Longer than entries need to come back after the store does (about two seconds).
-LAPSE_S: Final = 2.6
+REREGISTRATION_S: Final = 2.6
 # Share of the time for which a leaving server still serves within which it may be used
 # if its service has no other.  The rest, one second of two, is for what comes on top:
 # the end of an entry is learned up to 0.2 s late, a channel may take 0.5 s to open.
@@ -58,7 +58,7 @@
         Requests that it works on at once.
     draining : bool
         It takes no new work.
-    cold_s : float
+    warmup_s : float
         Seconds for which it is still slow after its start.
     """
 
@@ -68,11 +68,11 @@
     domain: str
     slots: int
     draining: bool
-    cold_s: float
+    warmup_s: float
     born: int = 0
 
     @property
-    def start(self) -> str:
+    def incarnation(self) -> str:
         """Name of one start of the server: channels belong to that."""
         return f"{self.id}.{self.born}"
 
@@ -90,25 +90,25 @@
 
     def __init__(self, server: Server) -> None:
         self.server = server
-        self.start = server.start
-        self.open = 0
+        self.incarnation = server.incarnation
+        self.in_flight = 0
         self.vanished_at: float | None = None
-        self.lapsed = False
+        self.is_lease_expired = False
         self.failures = 0
         self.rests_until = 0.0
-        self.rest_s = REST_S
+        self.rest_s = EJECTION_S
         self.mean_s = 0.0
-        self.full_until = 0.0
+        self.overloaded_until = 0.0
         self._load = Load(0, 0, server.slots)
         self._load_at = float("-inf")
         self._open_at_report = 0
-        self.parts = KnownParts()
+        self.cached_segments = CachedSegments()
 
-    def take_load(self, load: Load, now: float) -> None:
+    def record_load(self, load: Load, now: float) -> None:
         """Take a report of load."""
         self._load = load
         self._load_at = now
-        self._open_at_report = self.open
+        self._open_at_report = self.in_flight
 
     def load(self, now: float) -> float:
         """Estimate the requests at the server, own and others'.
@@ -118,7 +118,7 @@
         that each spread their own requests evenly spread the sum evenly too.  So an own
         request stands for several, and what others have there counts little.
         """
-        own = OWN_WEIGHT * self.open
+        own = OWN_WEIGHT * self.in_flight
         if now - self._load_at > LOAD_AGE_S:
             return own
         reported = self._load.running + self._load.waiting
@@ -128,19 +128,19 @@
         """Whether the entry vanished at most so many seconds ago."""
         return self.vanished_at is not None and now - self.vanished_at <= seconds
 
-    def takes_work(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Whether the server may get more of what it has begun."""
         return not self.server.draining and self.vanished_at is None
 
-    def succeeded(self, seconds: float) -> None:
+    def record_success(self, seconds: float) -> None:
         """Note a good answer and how long it took."""
         self.failures = 0
-        self.rest_s = REST_S
+        self.rest_s = EJECTION_S
         if self.mean_s == 0.0:
             self.mean_s = seconds
         self.mean_s += TIME_GAIN * (seconds - self.mean_s)
 
-    def failed(self, now: float, to_rest: int = FAILURES_TO_REST) -> bool:
+    def record_failure(self, now: float, to_rest: int = EJECTION_FAILURES) -> bool:
         """Note a failure; True if the server rests from now on.
 
         Parameters
@@ -175,7 +175,7 @@
 
     def __init__(self, drain_s: float = 2.0) -> None:
         # Set by who follows the store: it is away, or has just come back.
-        self.store_unsure = False
+        self.store_unstable = False
         self._last_resort_s = LAST_RESORT * drain_s
         self._servers: dict[str, ServerState] = {}
         self._by_service: dict[str, list[ServerState]] = {}
@@ -212,12 +212,14 @@
         self._sorted.pop(server.service, None)
         return replaced
 
-    def remove(self, server_id: str, now: float, *, lapsed: bool = False) -> None:
+    def remove(
+        self, server_id: str, now: float, *, is_lease_expired: bool = False
+    ) -> None:
         """Take the end of an entry.
 
         Parameters
         ----------
-        lapsed : bool
+        is_lease_expired : bool
             It may have ended only because the store was away: it was missing in the
             first answer after that.  What ends later has left, and a server that has
             left must get nothing for longer than it serves.
@@ -225,34 +227,36 @@
         state = self._servers.get(server_id)
         if state is not None and state.vanished_at is None:
             state.vanished_at = now
-            state.lapsed = lapsed
+            state.is_lease_expired = is_lease_expired
             self._sorted.pop(state.server.service, None)
 
-    def keep_only(self, present: set[str], now: float) -> None:
+    def retain_only(self, present: set[str], now: float) -> None:
         """Take a full listing: what is not in it has vanished."""
         for server_id in self._servers:
             if server_id not in present:
-                self.remove(server_id, now, lapsed=self.store_unsure)
+                self.remove(server_id, now, is_lease_expired=self.store_unstable)
 
-    def failed(self, state: ServerState, now: float) -> None:
+    def record_failure(self, state: ServerState, now: float) -> None:
         """Note that a server failed; it may rest."""
         alike = len(self._by_service.get(state.server.service, []))
-        state.failed(now, 1 if alike >= SERVERS_TO_SUSPECT else FAILURES_TO_REST)
+        state.record_failure(
+            now, 1 if alike >= SERVERS_TO_SUSPECT else EJECTION_FAILURES
+        )
 
-    def expire(self, now: float) -> list[Server]:
+    def remove_expired(self, now: float) -> list[Server]:
         """Forget servers that vanished long ago and have nothing under way."""
         gone = [
             state
             for state in self._servers.values()
             if state.vanished_at is not None
-            and now - state.vanished_at > LAPSE_S
-            and state.open == 0
+            and now - state.vanished_at > REREGISTRATION_S
+            and state.in_flight == 0
         ]
         for state in gone:
             self._forget(state)
         return [state.server for state in gone]
 
-    def usable(self, service: str, now: float) -> list[ServerState]:
+    def eligible_servers(self, service: str, now: float) -> list[ServerState]:
         """Servers that may get new work.
 
         Resting servers are left out unless that leaves none: a wrong suspicion of all
@@ -291,7 +295,7 @@
         gone = [s for s in vanished if s.vanished_within(self._last_resort_s, now)]
         gone = [s for s in gone if s not in ready]
         # One entry that ends means a server that leaves, most of a service's do not.
-        if not ready or (self.store_unsure and len(gone) > len(ready)):
+        if not ready or (self.store_unstable and len(gone) > len(ready)):
             ready = ready + gone
         return ready
 
@@ -302,8 +306,8 @@
         others for 1.4 s after that was learned, a server got a request later than the
         two seconds for which it still serves.
         """
-        unsure = self.store_unsure and state.lapsed
-        return unsure and state.vanished_within(LAPSE_S, now)
+        unsure = self.store_unstable and state.is_lease_expired
+        return unsure and state.vanished_within(REREGISTRATION_S, now)
 
     def _forget(self, state: ServerState) -> None:
         del self._servers[state.server.id]
--- a/wisteriastair/core/gate.py
+++ b/wisteriastair/core/gate.py
@@ -23,7 +23,7 @@
 from typing import Final, NamedTuple
 
 from .events import BackendCall, BackendCancel, BackendEnded, BackendRelease
-from .ordering import Order, Waiting
+from .ordering import QueuedCall, QueueOrder
 from .outbox import Outbox
 from .wire import (
     CallId,
@@ -91,14 +91,14 @@
         Member id of this process.
     limits : GateLimits
         Admission limits.
-    order : Order
+    order : QueueOrder
         Order of the queue.
     out : Outbox
         Where effects go.
     """
 
     def __init__(
-        self, server: str, me: str, limits: GateLimits, order: Order, out: Outbox
+        self, server: str, me: str, limits: GateLimits, order: QueueOrder, out: Outbox
     ) -> None:
         self.server = server
         self.leaving = False
@@ -123,7 +123,7 @@
             len(self._queue), len(self._running), self._tokens, limits.tokens
         )
 
-    def holds(self) -> list[str]:
+    def leased_programs(self) -> list[str]:
         """Programs for which the engine may hold memory."""
         return sorted(self._holds)
 
@@ -296,7 +296,7 @@
         assert known.call is not None, "a queued call has its request"
         request = known.call
         began = known.since - request.age_s
-        waiting = Waiting(request.priority, known.since, began)
+        waiting = QueuedCall(request.priority, known.since, began)
         return self._order.key(waiting, now)
 
     # Holds
--- a/wisteriastair/core/hashing.py
+++ b/wisteriastair/core/hashing.py
@@ -13,15 +13,15 @@
 WORD_BYTES = 8
 
 
-def hash_word(*parts: str) -> int:
+def hash64(*parts: str) -> int:
     """Hash of strings as an unsigned 64-bit number."""
     state = blake2b("\x00".join(parts).encode(), digest_size=WORD_BYTES)
     return int.from_bytes(state.digest(), "big")
 
 
-def rank(job: str, candidates: Iterable[str]) -> list[str]:
+def rendezvous_order(job: str, candidates: Iterable[str]) -> list[str]:
     """Order candidates by rendezvous hash, the chosen one first."""
-    return sorted(candidates, key=lambda name: hash_word(job, name), reverse=True)
+    return sorted(candidates, key=lambda name: hash64(job, name), reverse=True)
 
 
 def program_id(customer: str, key: str) -> str:
@@ -37,7 +37,7 @@
 def slot_of(program: str, slots: int) -> int:
     """Slot of a program; sub-agents live in their parent's slot."""
     root = program.split(".", 1)[0]
-    return hash_word("slot", root) % slots
+    return hash64("slot", root) % slots
 
 
 def address_of(member: str) -> str:
--- a/wisteriastair/core/keeper.py
+++ b/wisteriastair/core/keeper.py
@@ -1,7 +1,7 @@
 """What a keeper of the ledger decides, without input or output.
 
 The shell feeds in messages and the time, writes batches to disk, and sends what
-`take_outbox` returns.  Every answer waits for the sync of the batch that it stands on,
+`drain_outbox` returns.  Every answer waits for the sync of the batch that it stands on,
 so nothing is acknowledged that a power loss could take back.  The view belongs to that:
 a replica that forgot at a restart which view it had adopted would accept writes under
 an older one, after a new replica had copied from it.
@@ -17,20 +17,27 @@
 from .hashing import address_of
 from .ledger import Attempt, Entry, Ledger
 from .ledgerwire import (
-    AskPermit,
     Copy,
     CopyReply,
-    Find,
+    FanOutWrite,
+    FindChain,
     LedgerMessage,
     PermitReply,
+    PermitRequest,
     Ping,
-    Spread,
-    Verdict,
+    ReplyStatus,
     Write,
     WriteReply,
 )
-from .membership import SLOTS, Member, View, Wishes, must_copy, slot_of_program
-from .quota import Answer, Permit, QuotaBounds, QuotaHolder
+from .membership import (
+    SLOTS,
+    Member,
+    MembershipObservation,
+    View,
+    copy_sources,
+    slot_of_program,
+)
+from .quota import Permit, PermitStatus, QuotaBounds, QuotaHolder
 
 # Heartbeats between keepers, in seconds.
 PING_S: Final = 0.4
@@ -58,7 +65,7 @@
 NO_BOUNDS: Final = QuotaBounds()
 
 
-Request = Write | Find | Copy
+Request = Write | FindChain | Copy
 
 
 class Batch(NamedTuple):
@@ -87,7 +94,7 @@
     ----------
     me : Member
         This instance and its disk.
-    losses : int
+    max_failures : int
         Members that may be lost at once.
     view : View
         The newest view that the disk held.
@@ -105,7 +112,7 @@
     def __init__(
         self,
         me: Member,
-        losses: int,
+        max_failures: int,
         *,
         view: View,
         entries: list[Entry],
@@ -121,7 +128,7 @@
         self.leaving: frozenset[str] = frozenset()
         self.stale_refused = 0
         self.batches_synced = 0
-        self._losses = losses
+        self._max_failures = max_failures
         self._most_turn_bytes = most_turn_bytes
         self._started = now
         # By disk: last heartbeat, when it entered the list, when it was first heard of
@@ -154,9 +161,9 @@
     def receive(self, sender: str, message: LedgerMessage, now: float) -> None:
         """Take a message; answers appear in a batch or in the outbox."""
         match message:
-            case Write() | Find():
+            case Write() | FindChain():
                 self._on_request(sender, message, now)
-            case Spread(write, others, origin):
+            case FanOutWrite(write, others, origin):
                 self._pass_on(write, others, origin or sender)
                 self._on_request(origin or sender, write, now)
             case Ping(disk, view, revision, stopping, known):
@@ -167,7 +174,7 @@
                     self.adopt(view, now, revision)
                 elif known == self._known:
                     self.view_revision = max(self.view_revision, revision)
-            case AskPermit():
+            case PermitRequest():
                 self._on_permit(sender, message, now)
             case Copy():
                 self._on_copy(sender, message)
@@ -189,15 +196,15 @@
     def _pass_on(self, write: Write, others: list[str], origin: str) -> None:
         """Pass a write on, whatever becomes of it here: each replica judges itself."""
         for address in others:
-            self._outbox.append((address, Spread(write, [], origin)))
-
-    def _on_request(self, sender: str, request: Write | Find, now: float) -> None:
-        verdict = self._verdict(request.view)
-        if verdict is Verdict.DONE and self._is_full_for(request):
-            verdict = Verdict.NOT_NOW
-        if verdict is not Verdict.DONE:
-            view = self.view if verdict is Verdict.STALE_VIEW else None
-            reply = WriteReply(request.op, self.me.disk, verdict, view=view)
+            self._outbox.append((address, FanOutWrite(write, [], origin)))
+
+    def _on_request(self, sender: str, request: Write | FindChain, now: float) -> None:
+        status = self._verdict(request.view)
+        if status is ReplyStatus.DONE and self._is_full_for(request):
+            status = ReplyStatus.UNAVAILABLE
+        if status is not ReplyStatus.DONE:
+            view = self.view if status is ReplyStatus.STALE_VIEW else None
+            reply = WriteReply(request.op, self.me.disk, status, view=view)
             self._outbox.append((sender, reply))
             return
         if isinstance(request, Write):
@@ -206,16 +213,16 @@
                 self._entries.append(new)
         self._answers.append((sender, request))
 
-    def _on_permit(self, sender: str, asked: AskPermit, now: float) -> None:
+    def _on_permit(self, sender: str, asked: PermitRequest, now: float) -> None:
         """Answer a question for a permit.
 
         One that is cut off from most members may have been replaced as a holder without
         having heard of it; its permits would then come on top of its successor's.
         """
-        permit = Permit(Answer.NOT_MINE)
+        permit = Permit(PermitStatus.NOT_HOLDER)
         if self._hears_most(now):
             permit = self.quota.ask(
-                asked.customer, asked.program, asked.kind, asked.ahead, now
+                asked.customer, asked.program, asked.kind, asked.allow_delayed, now
             )
         self._outbox.append((sender, PermitReply(asked.op, permit)))
 
@@ -224,31 +231,31 @@
         heard = sum(self._is_heard(member.disk, now) for member in members)
         return 2 * heard > len(members)
 
-    def _is_full_for(self, request: Write | Find) -> bool:
+    def _is_full_for(self, request: Write | FindChain) -> bool:
         if not isinstance(request, Write) or not request.entry.turns:
             return False
-        size = sum(len(turn.said) for turn in request.entry.turns)
-        return self.ledger.held_bytes + size > self._most_turn_bytes
+        size = sum(len(turn.content) for turn in request.entry.turns)
+        return self.ledger.turn_bytes + size > self._most_turn_bytes
 
-    def _verdict(self, number: int) -> Verdict:
+    def _verdict(self, number: int) -> ReplyStatus:
         if number < self.view.number:
             self.stale_refused += 1
-            return Verdict.STALE_VIEW
+            return ReplyStatus.STALE_VIEW
         member = self.me in self.view.members or self.me in self.view.old
         if number > self.view.number or not member:
-            return Verdict.NOT_NOW
-        return Verdict.DONE
+            return ReplyStatus.UNAVAILABLE
+        return ReplyStatus.DONE
 
     def _on_copy(self, sender: str, copy: Copy) -> None:
-        if self._verdict(copy.view) is Verdict.DONE:
+        if self._verdict(copy.view) is ReplyStatus.DONE:
             self._answers.append((sender, copy))
             return
-        reply = CopyReply(copy.op, self.me.disk, Verdict.NOT_NOW)
+        reply = CopyReply(copy.op, self.me.disk, ReplyStatus.UNAVAILABLE)
         self._outbox.append((sender, reply))
 
     # Batches
 
-    def take_batch(self) -> Batch | None:
+    def next_batch(self) -> Batch | None:
         """Take what waits for a sync, or None."""
         if not self._entries and not self._view_dirty and not self._answers:
             return None
@@ -260,7 +267,7 @@
         self._syncing = True
         return batch
 
-    def synced(self, batch: Batch) -> None:
+    def on_synced(self, batch: Batch) -> None:
         """Answer what waited for a batch, now that it is durable."""
         self._syncing = False
         self.batches_synced += 1
@@ -270,7 +277,7 @@
             else:
                 self._outbox.append((sender, self._reply(request)))
 
-    def not_synced(self, batch: Batch) -> None:
+    def on_sync_failed(self, batch: Batch) -> None:
         """Refuse what waited for a batch that the disk did not take.
 
         Its records are in memory, so a request sent again would not find them new;
@@ -282,32 +289,32 @@
         for sender, request in batch.answers:
             if isinstance(request, Copy):
                 refusal: LedgerMessage = CopyReply(
-                    request.op, self.me.disk, Verdict.NOT_NOW
+                    request.op, self.me.disk, ReplyStatus.UNAVAILABLE
                 )
             else:
-                refusal = WriteReply(request.op, self.me.disk, Verdict.NOT_NOW)
+                refusal = WriteReply(request.op, self.me.disk, ReplyStatus.UNAVAILABLE)
             self._outbox.append((sender, refusal))
 
-    def take_outbox(self) -> list[tuple[str, LedgerMessage]]:
+    def drain_outbox(self) -> list[tuple[str, LedgerMessage]]:
         """Take messages to send."""
         outbox = self._outbox
         self._outbox = []
         return outbox
 
-    def _reply(self, request: Write | Find) -> WriteReply:
+    def _reply(self, request: Write | FindChain) -> WriteReply:
         attempts: dict[str, Attempt] = {}
         if isinstance(request, Write):
             account = self.ledger.accounts.get(request.entry.program)
             attempts = {} if account is None else dict(account.attempts)
-        home, chain = self.ledger.find(request.chain)
+        chain_program, chain = self.ledger.find(request.chain)
         return WriteReply(
             request.op,
             self.me.disk,
-            Verdict.DONE,
+            ReplyStatus.DONE,
             attempts,
             has_chain=bool(chain),
             turns=chain if request.with_turns else [],
-            home=home,
+            chain_program=chain_program,
         )
 
     def _copy_part(self, copy: Copy) -> CopyReply:
@@ -319,11 +326,13 @@
             if slot_of_program(program) not in wanted:
                 continue
             if size >= COPY_PART_BYTES:
-                return CopyReply(copy.op, self.me.disk, Verdict.DONE, entries, False)
+                return CopyReply(
+                    copy.op, self.me.disk, ReplyStatus.DONE, entries, False
+                )
             entry = self.ledger.accounts[program].whole()
             entries.append(entry)
-            size += RECORD_BYTES + sum(len(turn.said) for turn in entry.turns)
-        return CopyReply(copy.op, self.me.disk, Verdict.DONE, entries, True)
+            size += RECORD_BYTES + sum(len(turn.content) for turn in entry.turns)
+        return CopyReply(copy.op, self.me.disk, ReplyStatus.DONE, entries, True)
 
     def rewrite(self, programs: set[str]) -> int:
         """Write accounts again, whole, with the next batch; return its number."""
@@ -353,7 +362,7 @@
         for disk in _disks(view) - _disks(self.view):
             self._entered[disk] = now
         self.view = view
-        self.quota.take_members(view.members, now)
+        self.quota.update_members(view.members, now)
         self._view_dirty = True
         if renumbered:
             self._plan_copy(now)
@@ -363,11 +372,11 @@
     def _known(self) -> tuple[int, int]:
         return self.view.number, len(self.view.synced)
 
-    def wishes(self, now: float) -> Wishes:
+    def observation(self, now: float) -> MembershipObservation:
         """Tell what this member knows when it considers a change of the view."""
         heard = {disk for disk in self._heard if self._is_heard(disk, now)}
         silent = {disk for disk in _disks(self.view) if self._is_silent(disk, now)}
-        return Wishes(
+        return MembershipObservation(
             self.me, frozenset(heard | {self.me.disk}), frozenset(silent), self.leaving
         )
 
@@ -425,7 +434,7 @@
         self._copy_number = self.view.number
         slots: dict[Member, list[int]] = {}
         for slot in range(SLOTS):
-            old = must_copy(self.view, self.me, slot, self._losses)
+            old = copy_sources(self.view, self.me, slot, self._max_failures)
             for member in old.members if old else ():
                 if member != self.me:
                     slots.setdefault(member, []).append(slot)
@@ -442,7 +451,7 @@
         source = self._sources.get(reply.disk)
         if source is None or source.op != reply.op or source.done:
             return
-        if reply.verdict is not Verdict.DONE:
+        if reply.status is not ReplyStatus.DONE:
             return
         for entry in reply.entries:
             new = self.ledger.merge(entry, now)
@@ -456,8 +465,8 @@
 
     def _copy_complete(self) -> bool:
         for slot in range(SLOTS):
-            old = must_copy(self.view, self.me, slot, self._losses)
-            if old is not None and not old.readable(self._copied):
+            old = copy_sources(self.view, self.me, slot, self._max_failures)
+            if old is not None and not old.has_read_quorum(self._copied):
                 return False
         return True
 
--- a/wisteriastair/core/ledger.py
+++ b/wisteriastair/core/ledger.py
@@ -35,15 +35,15 @@
 
     Attributes
     ----------
-    previous : str
+    previous_id : str
         The turn that it continues; empty at the start of a chain.
-    said : bytes
+    content : bytes
         Its input followed by the output, as the next turn is to repeat them.
     """
 
     id: str
-    previous: str
-    said: bytes
+    previous_id: str
+    content: bytes
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
@@ -51,12 +51,12 @@
 
     Attributes
     ----------
-    keep_s : float
+    retention_s : float
         Seconds for which the account is kept after its last record.
     """
 
     program: str
-    keep_s: float
+    retention_s: float
     attempts: dict[str, Attempt] = {}
     turns: list[Turn] = []
 
@@ -66,7 +66,7 @@
 
     def __init__(self, program: str, now: float) -> None:
         self.program = program
-        self.keep_s = 0.0
+        self.retention_s = 0.0
         self.touched = now
         self.attempts: dict[str, Attempt] = {}
         self.turns: dict[str, Turn] = {}
@@ -77,7 +77,7 @@
         A reservation that arrives after its settlement, late or sent again, is
         dropped: it would take the tokens a second time.
         """
-        self.keep_s = max(self.keep_s, entry.keep_s)
+        self.retention_s = max(self.retention_s, entry.retention_s)
         self.touched = now
         attempts: dict[str, Attempt] = {}
         for attempt_id, attempt in entry.attempts.items():
@@ -90,19 +90,23 @@
             self.turns[turn.id] = turn
         if not attempts and not turns:
             return None
-        return Entry(self.program, self.keep_s, attempts, turns)
+        return Entry(self.program, self.retention_s, attempts, turns)
 
     def whole(self) -> Entry:
         """All records of the account."""
         return Entry(
-            self.program, self.keep_s, dict(self.attempts), list(self.turns.values())
+            self.program,
+            self.retention_s,
+            dict(self.attempts),
+            list(self.turns.values()),
         )
 
     def chain(self, turn_id: str) -> list[Turn]:
         """Return a chain as far back as it is here, the oldest turn first.
 
         Turns of one chain may lie on different replicas, as each is written to just
-        enough of them.  What is missing is asked for by the oldest turn's `previous`.
+        enough of them.  What is missing is asked for by the oldest turn's
+        `previous_id`.
         """
         found: list[Turn] = []
         while turn_id:
@@ -110,13 +114,13 @@
             if turn is None or len(found) > len(self.turns):
                 break
             found.append(turn)
-            turn_id = turn.previous
+            turn_id = turn.previous_id
         found.reverse()
         return found
 
     def expired(self, now: float) -> bool:
         """Whether the account has not been used for its retention."""
-        return now - self.touched > self.keep_s + RETENTION_SLACK_S
+        return now - self.touched > self.retention_s + RETENTION_SLACK_S
 
 
 class Found(NamedTuple):
@@ -131,7 +135,7 @@
 
     def __init__(self) -> None:
         self.accounts: dict[str, Account] = {}
-        self.held_bytes = 0
+        self.turn_bytes = 0
         self._homes: dict[str, Account] = {}
 
     def merge(self, entry: Entry, now: float) -> Entry | None:
@@ -141,7 +145,7 @@
             account = self.accounts[entry.program] = Account(entry.program, now)
         new = account.merge(entry, now)
         if new is not None:
-            self.held_bytes += sum(len(turn.said) for turn in new.turns)
+            self.turn_bytes += sum(len(turn.content) for turn in new.turns)
             for turn in new.turns:
                 self._homes.setdefault(turn.id, account)
         return new
@@ -165,16 +169,16 @@
             for turn_id in account.turns:
                 if self._homes.get(turn_id) is account:
                     del self._homes[turn_id]
-            self.held_bytes -= sum(len(t.said) for t in account.turns.values())
+            self.turn_bytes -= sum(len(t.content) for t in account.turns.values())
         return [account.program for account in gone]
 
     def longest_retention_s(self) -> float:
         """Seconds after which every record written so far was used again or expired."""
-        keep_s = max((a.keep_s for a in self.accounts.values()), default=0.0)
-        return keep_s + RETENTION_SLACK_S
+        retention_s = max((a.retention_s for a in self.accounts.values()), default=0.0)
+        return retention_s + RETENTION_SLACK_S
 
 
-def merged_attempts(replies: list[dict[str, Attempt]]) -> dict[str, Attempt]:
+def merge_attempts(replies: list[dict[str, Attempt]]) -> dict[str, Attempt]:
     """Merge the attempts that several replicas know of one program."""
     merged: dict[str, Attempt] = {}
     for attempts in replies:
@@ -185,11 +189,11 @@
     return merged
 
 
-def fits_budget(attempts: dict[str, Attempt], mine: str, budget: int) -> bool:
+def fits_budget(attempts: dict[str, Attempt], attempt_id: str, budget: int) -> bool:
     """Whether an attempt that is among the reserved ones keeps the budget.
 
     Two attempts that reserve at the same moment see each other and may both be
     refused; that is the safe side, and each frees its reservation at once.
     """
-    assert mine in attempts, "an attempt reserves before it asks"
+    assert attempt_id in attempts, "an attempt reserves before it asks"
     return sum(attempt.tokens for attempt in attempts.values()) <= budget
--- a/wisteriastair/core/ledgerwire.py
+++ b/wisteriastair/core/ledgerwire.py
@@ -16,14 +16,14 @@
 from .quota import Permit
 
 
-class Verdict(IntEnum):
+class ReplyStatus(IntEnum):
     """How a replica takes a request."""
 
     DONE = 0
     # The request names an older view than the replica knows; its view comes along.
     STALE_VIEW = 1
     # The replica does not know the view yet, or cannot write.
-    NOT_NOW = 2
+    UNAVAILABLE = 2
 
 
 class Write(msgspec.Struct, frozen=True, array_like=True, tag=1):
@@ -44,7 +44,7 @@
     with_turns: bool = False
 
 
-class Find(msgspec.Struct, frozen=True, array_like=True, tag=6):
+class FindChain(msgspec.Struct, frozen=True, array_like=True, tag=6):
     """Ask for a chain that no replica of the program's own slot knows.
 
     Programs may continue from turns of earlier programs, which lie in other slots.
@@ -56,7 +56,7 @@
     with_turns: bool = False
 
 
-class Spread(msgspec.Struct, frozen=True, array_like=True, tag=9):
+class FanOutWrite(msgspec.Struct, frozen=True, array_like=True, tag=9):
     """Write to several replicas, of which one passes the write on to the others.
 
     A relay with a slow link sends a kept turn once instead of to each replica; keepers
@@ -76,7 +76,7 @@
 
 
 class WriteReply(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Answer to `Write` and `Find`.
+    """Answer to `Write` and `FindChain`.
 
     Attributes
     ----------
@@ -86,17 +86,17 @@
         Whether the last turn of the chain is here.
     turns : list of Turn
         The chain as far back as it is here, the oldest turn first, if asked for.
-    home : str
+    chain_program : str
         Program that the chain belongs to.
     """
 
     op: int
     disk: str
-    verdict: Verdict
+    status: ReplyStatus
     attempts: dict[str, Attempt] = {}
     has_chain: bool = False
     turns: list[Turn] = []
-    home: str = ""
+    chain_program: str = ""
     view: View | None = None
 
 
@@ -142,7 +142,7 @@
 
     op: int
     disk: str
-    verdict: Verdict
+    status: ReplyStatus
     entries: list[Entry] = []
     last: bool = False
 
@@ -155,12 +155,12 @@
     value: bytes
 
 
-class AskDocuments(msgspec.Struct, frozen=True, array_like=True, tag=7):
+class DocumentsRequest(msgspec.Struct, frozen=True, array_like=True, tag=7):
     """Ask a keeper for the newest documents of the store that it knows."""
 
 
-class KnownDocuments(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """Answer to `AskDocuments`.
+class DocumentsReply(msgspec.Struct, frozen=True, array_like=True, tag=8):
+    """Answer to `DocumentsRequest`.
 
     Attributes
     ----------
@@ -186,14 +186,14 @@
 
     Attributes
     ----------
-    values : bool
+    with_values : bool
         Whether the changes themselves are wanted, or only their revisions.
     """
 
-    values: bool
+    with_values: bool
 
 
-class StoreNews(msgspec.Struct, frozen=True, array_like=True, tag=11):
+class StoreUpdate(msgspec.Struct, frozen=True, array_like=True, tag=11):
     """What a keeper that watches the platform's store has just heard from it.
 
     Attributes
@@ -202,17 +202,17 @@
         The changes are all that came after `base`, up to `revision`.
     changes : list of Change or None
         None if there are some and they are not enclosed.
-    in_touch : bool
+    store_reachable : bool
         False if the store does not answer; the rest is then as it was before.
     """
 
     base: int
     revision: int
     changes: list[Change] | None = []
-    in_touch: bool = True
+    store_reachable: bool = True
 
 
-class AskPermit(msgspec.Struct, frozen=True, array_like=True, tag=12):
+class PermitRequest(msgspec.Struct, frozen=True, array_like=True, tag=12):
     """Ask a holder of a customer's quota for a permit for one request.
 
     It may be lost or doubled; a doubled one takes a permit that nobody uses.
@@ -223,7 +223,7 @@
         What the request belongs to; empty for a request by itself.
     kind : str
         Kind of the program if this may be its first request; else empty.
-    ahead : bool
+    allow_delayed : bool
         Whether a permit that counts a little later will do.
     """
 
@@ -231,11 +231,11 @@
     customer: str
     program: str
     kind: str = ""
-    ahead: bool = False
+    allow_delayed: bool = False
 
 
 class PermitReply(msgspec.Struct, frozen=True, array_like=True, tag=13):
-    """Answer to `AskPermit`."""
+    """Answer to `PermitRequest`."""
 
     op: int
     permit: Permit
@@ -243,17 +243,17 @@
 
 LedgerMessage = (
     Write
-    | Spread
-    | Find
+    | FanOutWrite
+    | FindChain
     | WriteReply
     | Ping
     | Copy
     | CopyReply
-    | AskDocuments
-    | KnownDocuments
+    | DocumentsRequest
+    | DocumentsReply
     | Subscribe
-    | StoreNews
-    | AskPermit
+    | StoreUpdate
+    | PermitRequest
     | PermitReply
 )
 
--- a/wisteriastair/core/membership.py
+++ b/wisteriastair/core/membership.py
@@ -21,7 +21,7 @@
 from functools import lru_cache
 from typing import Final, NamedTuple
 
-from .hashing import hash_word, rank
+from .hashing import hash64, rendezvous_order
 
 SLOTS: Final = 64
 
@@ -70,11 +70,11 @@
     write: int
     read: int
 
-    def written(self, disks: set[str]) -> bool:
+    def has_write_quorum(self, disks: set[str]) -> bool:
         """Whether enough replicas have synced a write."""
         return self._count(disks) >= self.write
 
-    def readable(self, disks: set[str]) -> bool:
+    def has_read_quorum(self, disks: set[str]) -> bool:
         """Whether enough replicas have answered to see all earlier writes."""
         return self._count(disks) >= self.read
 
@@ -84,11 +84,13 @@
 
 def slot_of_program(program: str) -> int:
     """Slot of a program."""
-    return hash_word("ledger", program) % SLOTS
+    return hash64("ledger", program) % SLOTS
 
 
 @lru_cache(maxsize=4096)
-def replica_set(members: tuple[Member, ...], slot: int, losses: int) -> ReplicaSet:
+def replica_set(
+    members: tuple[Member, ...], slot: int, max_failures: int
+) -> ReplicaSet:
     """Compute the replicas of a slot.
 
     One replica a failure domain comes first, in the order of rendezvous hashing, so
@@ -96,17 +98,17 @@
 
     Parameters
     ----------
-    losses : int
+    max_failures : int
         Members that may be lost at once (t).
     """
     by_name = {member.name: member for member in members}
-    order = [by_name[name] for name in rank(f"slot {slot}", by_name)]
-    chosen = over_domains(order, 2 * losses + 1)
-    write = losses + 1
+    order = [by_name[name] for name in rendezvous_order(f"slot {slot}", by_name)]
+    chosen = spread_over_domains(order, 2 * max_failures + 1)
+    write = max_failures + 1
     return ReplicaSet(chosen, write, max(1, len(chosen) - write + 1))
 
 
-def over_domains(order: list[Member], count: int) -> tuple[Member, ...]:
+def spread_over_domains(order: list[Member], count: int) -> tuple[Member, ...]:
     """Choose the first of an order, one of each failure domain before a second one."""
     chosen: list[Member] = []
     while len(chosen) < min(count, len(order)):
@@ -118,15 +120,17 @@
     return tuple(chosen[:count])
 
 
-def replica_sets(view: View, slot: int, losses: int) -> tuple[ReplicaSet, ...]:
+def replica_sets(view: View, slot: int, max_failures: int) -> tuple[ReplicaSet, ...]:
     """Return the sets whose quorums a request needs: one, or two during a change."""
-    sets = [replica_set(view.members, slot, losses)]
+    sets = [replica_set(view.members, slot, max_failures)]
     if view.old:
-        sets.append(replica_set(view.old, slot, losses))
+        sets.append(replica_set(view.old, slot, max_failures))
     return tuple(sets)
 
 
-def must_copy(view: View, me: Member, slot: int, losses: int) -> ReplicaSet | None:
+def copy_sources(
+    view: View, me: Member, slot: int, max_failures: int
+) -> ReplicaSet | None:
     """Return the old replicas that a member has to copy a slot from, if any.
 
     A member that was a replica before needs no copy while the set does not shrink: a
@@ -135,8 +139,8 @@
     """
     if not view.old:
         return None
-    new = replica_set(view.members, slot, losses)
-    old = replica_set(view.old, slot, losses)
+    new = replica_set(view.members, slot, max_failures)
+    old = replica_set(view.old, slot, max_failures)
     if me not in new.members:
         return None
     if me in old.members and len(new.members) >= len(old.members):
@@ -144,7 +148,7 @@
     return old
 
 
-class Wishes(NamedTuple):
+class MembershipObservation(NamedTuple):
     """What one member knows when it considers a change.
 
     Attributes
@@ -165,35 +169,39 @@
     leaving: frozenset[str]
 
 
-def next_view(view: View, wishes: Wishes, losses: int) -> View | None:
+def next_view(
+    view: View, observation: MembershipObservation, max_failures: int
+) -> View | None:
     """Propose the next view, or None if nothing is to change.
 
     Only a member that hears most of the others proposes: one that is cut off would
     otherwise drop the very members that go on serving.
     """
-    if _finished(view, losses):
+    if _finished(view, max_failures):
         return View(view.number + 1, view.members)
-    wanted = _wanted(view, wishes, losses)
-    if wanted == view.members or not _hears_most(view, wishes):
+    wanted = _wanted(view, observation, max_failures)
+    if wanted == view.members or not _hears_most(view, observation):
         return None
-    if len(view.members) <= losses and not view.old:
+    if len(view.members) <= max_failures and not view.old:
         # Too few members to have counted a write: there is nothing to copy.
         return View(view.number + 1, wanted)
     return View(view.number + 1, wanted, view.old or view.members)
 
 
-def _finished(view: View, losses: int) -> bool:
+def _finished(view: View, max_failures: int) -> bool:
     if not view.old:
         return False
     needed = [
         member
         for member in view.members
-        if any(must_copy(view, member, slot, losses) for slot in range(SLOTS))
+        if any(copy_sources(view, member, slot, max_failures) for slot in range(SLOTS))
     ]
     return all(member.disk in view.synced for member in needed)
 
 
-def _wanted(view: View, wishes: Wishes, losses: int) -> tuple[Member, ...]:
+def _wanted(
+    view: View, observation: MembershipObservation, max_failures: int
+) -> tuple[Member, ...]:
     """Work out the list to have: whoever is there and is not to be emptied.
 
     The failure: a member that is gone for good stays in a list of 2t + 1 or fewer, and
@@ -206,26 +214,28 @@
     emptied but still live fill up the list, one that has just lost its disk among them,
     and then the silent ones.
     """
-    known = {m.name: m for m in (*view.old, *view.members, wishes.me)}
-    listed = {m.name for m in (*view.members, wishes.me)}
-    there = [m for m in known.values() if m.disk not in wishes.silent]
-    wanted = [m for m in there if m.name in listed and m.name not in wishes.leaving]
-    leaving = [m for m in there if m.name in wishes.leaving]
+    known = {m.name: m for m in (*view.old, *view.members, observation.me)}
+    listed = {m.name for m in (*view.members, observation.me)}
+    there = [m for m in known.values() if m.disk not in observation.silent]
+    wanted = [
+        m for m in there if m.name in listed and m.name not in observation.leaving
+    ]
+    leaving = [m for m in there if m.name in observation.leaving]
     names = {m.name for m in there}
     silent = [m for m in view.members if m.name not in names]
     # Those in the list come first, so that members agree on who fills it up.
     fill = sorted(leaving, key=lambda m: (m.name not in listed, m)) + sorted(silent)
-    missing = losses + 1 - len(wanted)
+    missing = max_failures + 1 - len(wanted)
     return tuple(sorted((*wanted, *fill[: max(0, missing)])))
 
 
-def _hears_most(view: View, wishes: Wishes) -> bool:
-    others = [m for m in view.members if m.name != wishes.me.name]
-    heard = sum(member.disk in wishes.heard for member in others)
+def _hears_most(view: View, observation: MembershipObservation) -> bool:
+    others = [m for m in view.members if m.name != observation.me.name]
+    heard = sum(member.disk in observation.heard for member in others)
     return 2 * heard >= len(others)
 
 
-def preferred(
+def select_replicas(
     replicas: ReplicaSet, domain: str, suspects: set[str], count: int
 ) -> list[Member]:
     """Choose some of the replicas, as far as there are so many.
@@ -234,7 +244,7 @@
     copies lie apart; among them the nearest. Suspects are only taken if there is
     nobody else.
     """
-    left = holder_order(replicas.members, domain)
+    left = sort_local_first(replicas.members, domain)
     left.sort(key=lambda member: member.disk in suspects)
     chosen: list[Member] = []
     while left and len(chosen) < count:
@@ -248,9 +258,9 @@
 
 @lru_cache(maxsize=4096)
 def _ordered(members: tuple[Member, ...], domain: str) -> tuple[Member, ...]:
-    return tuple(sorted(members, key=lambda m: (m.domain != domain, hash_word(m.name))))
+    return tuple(sorted(members, key=lambda m: (m.domain != domain, hash64(m.name))))
 
 
-def holder_order(members: tuple[Member, ...], domain: str) -> list[Member]:
+def sort_local_first(members: tuple[Member, ...], domain: str) -> list[Member]:
     """Order members for a read: those in the reader's domain first."""
     return list(_ordered(members, domain))
--- a/wisteriastair/core/ordering.py
+++ b/wisteriastair/core/ordering.py
@@ -12,7 +12,7 @@
 from typing import Final, NamedTuple
 
 
-class Waiting(NamedTuple):
+class QueuedCall(NamedTuple):
     """A call in a gate's queue."""
 
     priority: int
@@ -20,26 +20,26 @@
     program_since: float
 
 
-class Order(ABC):
+class QueueOrder(ABC):
     """Sorts a queue."""
 
     @abstractmethod
-    def key(self, call: Waiting, now: float) -> tuple[float, ...]:
+    def key(self, call: QueuedCall, now: float) -> tuple[float, ...]:
         """Sort key: the smallest goes first."""
 
 
-class Fifo(Order):
+class Fifo(QueueOrder):
     """Baseline: first come, first served."""
 
-    def key(self, call: Waiting, now: float) -> tuple[float, ...]:
+    def key(self, call: QueuedCall, now: float) -> tuple[float, ...]:
         """Arrival time."""
         return (call.queued_at,)
 
 
-class OldestProgram(Order):
+class OldestProgram(QueueOrder):
     """Finish what was begun first."""
 
-    def key(self, call: Waiting, now: float) -> tuple[float, ...]:
+    def key(self, call: QueuedCall, now: float) -> tuple[float, ...]:
         """Priority, then the program's start."""
         return (-call.priority, call.program_since)
 
@@ -47,6 +47,6 @@
 ORDERS: Final = ("program", "fifo")
 
 
-def make_order(name: str) -> Order:
+def make_order(name: str) -> QueueOrder:
     """Build an order by its name in the settings."""
     return Fifo() if name == "fifo" else OldestProgram()
--- a/wisteriastair/core/outbox.py
+++ b/wisteriastair/core/outbox.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .events import Effect, Note, Send
+from .events import Effect, LogMessage, Send
 from .wire import Message
 
 
@@ -26,7 +26,7 @@
 
     def note(self, text: str, *, level: str = "info", program: str = "") -> None:
         """Add a line for the log."""
-        self._effects.append(Note(level, text, program))
+        self._effects.append(LogMessage(level, text, program))
 
     def drain(self) -> list[Effect]:
         """Take all effects gathered so far."""
--- a/wisteriastair/core/peers.py
+++ b/wisteriastair/core/peers.py
@@ -15,7 +15,7 @@
 
 from .docs import Docs
 from .events import Instance
-from .hashing import address_of, hash_word, rank
+from .hashing import address_of, hash64, rendezvous_order
 from .outbox import Outbox
 from .wire import Heartbeat
 
@@ -135,12 +135,12 @@
         since = max(heard, self._watched_since.get(member, now))
         return now - since > SUSPECT_S
 
-    def silent(self, member: str, now: float) -> bool:
+    def is_unresponsive(self, member: str, now: float) -> bool:
         """Whether a member has not been heard for long."""
         peer = self._known.get(address_of(member))
         return peer is None or now - peer.heard_at > SILENT_S
 
-    def is_gone(self, member: str) -> bool:
+    def is_confirmed_down(self, member: str) -> bool:
         """Whether there is proof that a member is gone, other than its silence."""
         address = address_of(member)
         peer = self._known.get(address)
@@ -154,36 +154,36 @@
         peer = self._known.get(address_of(member))
         return peer is not None and peer.member == member and peer.draining
 
-    def sample(self, now: float) -> str:
+    def sample_peer(self, now: float) -> str:
         """Return the side process asked last time, if it answered; ask another.
 
         The order is this process's own, so processes do not all look at the same one.
         """
         member = ""
         peer = self._known.get(self._sampled)
-        if peer is not None and not self.silent(peer.member, now):
+        if peer is not None and not self.is_unresponsive(peer.member, now):
             member = peer.member
         addresses = [i.address for i in self.sides() if i.address != self._sampled]
         if addresses:
             self._samples += 1
-            pick = hash_word(self._me, "sample", str(self._samples)) % len(addresses)
+            pick = hash64(self._me, "sample", str(self._samples)) % len(addresses)
             self._sampled = addresses[pick]
             self.ask(self._sampled, now)
         return member
 
-    def held_of(self, member: str) -> int | None:
+    def replica_count_of(self, member: str) -> int | None:
         """Slots that a member said it holds; None if it is not fit for another."""
         peer = self._known.get(address_of(member))
         if peer is None or peer.member != member or peer.draining or not peer.domain:
             return None
         return peer.carried
 
-    def is_elsewhere(self, member: str) -> bool:
+    def is_in_other_domain(self, member: str) -> bool:
         """Whether a member is in another failure domain than this process."""
         peer = self._known.get(address_of(member))
         return peer is not None and peer.domain not in ("", self._domain)
 
-    def leads_of(self, member: str) -> int | None:
+    def primary_count_of(self, member: str) -> int | None:
         """Slots that a member said it carries; None if it is not fit to take one."""
         peer = self._known.get(address_of(member))
         if peer is None or peer.member != member or peer.draining or not peer.domain:
@@ -210,7 +210,7 @@
         """Instances that can hold slots: side processes that are not leaving."""
         return [i for i in self.instances if i.role == "side" and not i.leaving]
 
-    def gate_of(self, server: str) -> Instance | None:
+    def gate_instance_of(self, server: str) -> Instance | None:
         """Return the instance whose side process stands before a server."""
         for instance in self.instances:
             if server in instance.servers:
@@ -226,7 +226,7 @@
         fleet; if none of them fits, all are.
         """
         sides = {i.address: i for i in self.sides() if i.domain != self._domain}
-        few = rank(f"copy {job}", sides)[:COPY_CANDIDATES]
+        few = rendezvous_order(f"copy {job}", sides)[:COPY_CANDIDATES]
         best = self._best_copy(few, exclude, now)
         if best:
             return best
--- a/wisteriastair/core/placement.py
+++ b/wisteriastair/core/placement.py
@@ -28,15 +28,15 @@
     KvValue,
     KvWritten,
 )
-from .hashing import hash_word
-from .replica import Row
+from .hashing import hash64
+from .replica import SlotRow
 
 SEGMENT_PREFIX: Final = "slots/"
 RETRY_S: Final = 0.05
 RETRY_MAX_S: Final = 2.0
 ANSWER_TIMEOUT_S: Final = 5.0
 
-_ROWS: Final = msgspec.msgpack.Decoder(list[Row])
+_ROWS: Final = msgspec.msgpack.Decoder(list[SlotRow])
 
 
 def segment_key(slot: int, segments: int) -> str:
@@ -44,12 +44,12 @@
     return f"{SEGMENT_PREFIX}{slot % segments}"
 
 
-def encode_rows(rows: dict[int, Row]) -> bytes:
+def encode_rows(rows: dict[int, SlotRow]) -> bytes:
     """Encode a segment."""
     return msgspec.msgpack.encode([rows[slot] for slot in sorted(rows)])
 
 
-def decode_rows(value: bytes) -> dict[int, Row]:
+def decode_rows(value: bytes) -> dict[int, SlotRow]:
     """Decode a segment; no bytes are an empty one."""
     if not value:
         return {}
@@ -60,7 +60,7 @@
     """Proposals for one segment and the call to the service under way."""
 
     def __init__(self) -> None:
-        self.wanted: dict[int, Row] = {}
+        self.wanted: dict[int, SlotRow] = {}
         self.busy_until = 0.0
         self.not_before = 0.0
         self.attempts = 0
@@ -80,7 +80,7 @@
     def __init__(self, me: str, slots: int, segments: int) -> None:
         self.slots = slots
         self.segments = segments
-        self.rows: dict[int, Row] = {}
+        self.rows: dict[int, SlotRow] = {}
         self.writes = 0
         self._me = me
         self._segments = {f"{SEGMENT_PREFIX}{n}": _Segment() for n in range(segments)}
@@ -89,7 +89,7 @@
         """Whether a key is a segment of the table."""
         return key in self._segments
 
-    def propose(self, row: Row) -> None:
+    def propose(self, row: SlotRow) -> None:
         """Ask for a row; it is proposed until the table has a later epoch."""
         key = segment_key(row.slot, self.segments)
         self._segments[key].wanted[row.slot] = row
@@ -106,7 +106,7 @@
         if row is not None and row.epoch <= epoch:
             del segment.wanted[slot]
 
-    def take(self, value: bytes) -> list[Row]:
+    def apply_segment(self, value: bytes) -> list[SlotRow]:
         """Take a confirmed segment; rows newer than those known are returned."""
         news = []
         for slot, row in decode_rows(value).items():
@@ -127,7 +127,7 @@
                 effects.append(KvRead(key))
         return effects
 
-    def on_answer(self, event: Event, now: float) -> list[Effect]:
+    def on_kv_response(self, event: Event, now: float) -> list[Effect]:
         """Go on after an answer of the key-value service."""
         match event:
             case KvValue(key, revision, value):
@@ -168,5 +168,5 @@
         segment.busy_until = 0.0
         segment.attempts += 1
         delay = min(RETRY_MAX_S, RETRY_S * 2 ** min(segment.attempts, 10))
-        jitter = hash_word(self._me, key, str(segment.attempts)) % 1000 / 1000
+        jitter = hash64(self._me, key, str(segment.attempts)) % 1000 / 1000
         segment.not_before = now + delay * (0.5 + jitter)
--- a/wisteriastair/core/carrier.py
+++ b/wisteriastair/core/primary.py
@@ -35,7 +35,7 @@
     Record,
     decode_record,
 )
-from .running import Running, RunningPrograms
+from .running import RunningProgram, RunningPrograms
 from .slots import SlotListener
 from .wire import Entry
 
@@ -43,7 +43,7 @@
 RETAIN_S: Final = 600.0
 
 
-class Carrier(SlotListener):
+class Primary(SlotListener):
     """Programs of the slots carried here.
 
     Parameters
@@ -57,8 +57,8 @@
     """
 
     def __init__(self, programs: RunningPrograms, calls: Calls, out: Outbox) -> None:
-        self.lost_slots: set[int] = set()
-        self.finished = 0
+        self.slots_with_lost_log: set[int] = set()
+        self.finished_count = 0
         self._programs = programs
         self._calls = calls
         self._out = out
@@ -70,7 +70,7 @@
     def opened(self, slot: int, programs: dict[str, list[Entry]], lost: bool) -> None:
         """Rebuild the programs of a slot and go on with them."""
         if lost:
-            self.lost_slots.add(slot)
+            self.slots_with_lost_log.add(slot)
         opened = []
         for name, entries in programs.items():
             if not entries:
@@ -82,17 +82,17 @@
         for run in opened:
             self._go_on(run)
 
-    def _rebuild(self, slot: int, entries: list[Entry]) -> Running:
+    def _rebuild(self, slot: int, entries: list[Entry]) -> RunningProgram:
         start = decode_record(entries[0].body)
         assert isinstance(start, ProgramStarted), "a program's log begins so"
         program = Program(start)
         for entry in entries[1:]:
             program.apply(decode_record(entry.body))
-        run = Running(program, slot)
+        run = RunningProgram(program, slot)
         run.heard_at = self._programs.now
         return run
 
-    def _note_state(self, name: str, run: Running) -> None:
+    def _note_state(self, name: str, run: RunningProgram) -> None:
         """Sort a program under the living or under those kept for late askers."""
         ended = run.program.ended
         if ended is None:
@@ -101,10 +101,10 @@
             self._programs.live.pop(name, None)
             self._kept.append((ended.ended_at, name))
 
-    def _go_on(self, run: Running) -> None:
+    def _go_on(self, run: RunningProgram) -> None:
         """Resume after a takeover: look the open call up, mend half-done steps."""
         program = run.program
-        for child in program.living_children():
+        for child in program.active_children():
             step = program.child_start(child)
             if child not in self._programs.by_name and step is not None:
                 self._programs.append(
@@ -118,7 +118,7 @@
 
     def closed(self, slot: int) -> None:
         """Drop the programs of a slot that another process carries now."""
-        self.lost_slots.discard(slot)
+        self.slots_with_lost_log.discard(slot)
         for name in [n for n, r in self._programs.by_name.items() if r.slot == slot]:
             del self._programs.by_name[name]
             self._programs.live.pop(name, None)
@@ -134,7 +134,7 @@
         run.uncommitted = max(0, run.uncommitted - 1)
         program = run.program
         call = program.call
-        children = program.living_children()
+        children = program.active_children()
         program.apply(record)
         match record:
             case CallIntended():
@@ -151,14 +151,14 @@
         run.deliver(self._out)
         self._decide(run)
 
-    def start(self, run: Running) -> None:
+    def start(self, run: RunningProgram) -> None:
         """Append the first record of a new program."""
         start = run.program.start
         self._programs.by_name[start.program] = run
         run.uncommitted = 1
         self._programs.append(run, start, new_program=True)
 
-    def end(self, run: Running, step: EndStep) -> None:
+    def end(self, run: RunningProgram, step: EndStep) -> None:
         """End a program from outside; its open call is cancelled."""
         if run.program.ended is None and not run.ending:
             self._end(run, step)
@@ -166,23 +166,25 @@
     def _start_committed(self, slot: int, record: ProgramStarted) -> None:
         run = self._programs.by_name.get(record.program)
         if run is None:
-            run = Running(Program(record), slot)
+            run = RunningProgram(Program(record), slot)
             parent = self._programs.by_name.get(record.parent)
             run.trace = parent.trace if parent is not None else ""
             self._programs.by_name[record.program] = run
         run.uncommitted = 0
         self._note_state(record.program, run)
         for request in run.subscribers:
-            self._out.send(run.subscribers[request].reply_to, run.pending(request))
+            self._out.send(
+                run.subscribers[request].reply_to, run.pending_message(request)
+            )
         self._decide(run)
 
     def _end_committed(
-        self, run: Running, call: CallIntended | None, children: list[str]
+        self, run: RunningProgram, call: CallIntended | None, children: list[str]
     ) -> None:
         """Release everything a program held."""
         program = run.program
         self._note_state(program.start.program, run)
-        self.finished += 1
+        self.finished_count += 1
         if call is not None:
             self._calls.cancel(call)
         for server in sorted(program.servers):
@@ -194,13 +196,13 @@
         if program.start.parent:
             self._report_to_parent(run)
 
-    def _report_to_parent(self, run: Running) -> None:
+    def _report_to_parent(self, run: RunningProgram) -> None:
         start = run.program.start
         ended = run.program.ended
         parent = self._programs.by_name.get(start.parent)
         if parent is None or parent.program.ended is not None or ended is None:
             return
-        if start.program not in parent.program.living_children():
+        if start.program not in parent.program.active_children():
             return
         answer = ended.answer if ended.status == "done" else f"error: {ended.status}"
         record = ChildEnded(start.parent, start.program, answer, run.program.spent)
@@ -208,7 +210,7 @@
 
     # Steps
 
-    def _decide(self, run: Running) -> None:
+    def _decide(self, run: RunningProgram) -> None:
         """Take the next step of a program, if nothing of it is under way."""
         if run.uncommitted or not self._programs.may_append(run):
             return
@@ -225,7 +227,7 @@
             case Wait() | ModelStep() | ToolStep():
                 pass
 
-    def _end(self, run: Running, step: EndStep) -> None:
+    def _end(self, run: RunningProgram, step: EndStep) -> None:
         name = run.program.start.program
         # Results that arrive from here on must not be appended behind the end.
         run.ending = True
@@ -234,14 +236,14 @@
         )
         self._programs.append(run, record)
 
-    def _start_child(self, run: Running, step: ChildStep) -> None:
+    def _start_child(self, run: RunningProgram, step: ChildStep) -> None:
         name = run.program.start.program
         self._programs.append(
             run, ChildStarted(name, step.child, step.position, step.budget)
         )
         self._programs.append(run, self._child_record(run, step), new_program=True)
 
-    def _child_record(self, run: Running, step: ChildStep) -> ProgramStarted:
+    def _child_record(self, run: RunningProgram, step: ChildStep) -> ProgramStarted:
         start = run.program.start
         return ProgramStarted(
             step.child,
--- a/wisteriastair/core/program.py
+++ b/wisteriastair/core/program.py
@@ -59,7 +59,7 @@
 
     number: int
     attempt: int
-    prompt_bound: int
+    prompt_token_bound: int
     max_tokens: int
     prefix: str
 
@@ -105,7 +105,7 @@
         self.turns = 0
         self.servers: set[str] = set()
         self.last_server = ""
-        self.last_tokens = 0
+        self.context_tokens = 0
         self.call_base = 0
         self._partial = ""
         self._actions: list[Turn] = []
@@ -134,7 +134,7 @@
         """Tokens that may still be promised to anyone."""
         return self.start.limits.budget - self.spent - self.reserved
 
-    def living_children(self) -> list[str]:
+    def active_children(self) -> list[str]:
         """Sub-agents that have not ended."""
         return list(self._carved)
 
@@ -214,7 +214,7 @@
         self.turns += 1
         self.outputs[call.number] = text
         self.last_server = call.server
-        self.last_tokens = record.prompt_tokens + record.completion_tokens
+        self.context_tokens = record.prompt_tokens + record.completion_tokens
         self._unsent_bytes = MESSAGE_OVERHEAD_TOKENS
         self.history.append(ChatMessage("assistant", text))
         if record.actions:
@@ -291,7 +291,7 @@
         limits = self.start.limits
         if self.turns >= limits.max_turns:
             return EndStep(Code.TURNS, "", f"used all {limits.max_turns} model calls")
-        bound = self.prompt_bound()
+        bound = self.prompt_token_bound()
         room = self.remaining() - bound
         if room < 1:
             detail = (
@@ -301,13 +301,13 @@
         max_tokens = min(limits.max_tokens, room)
         return ModelStep(self._number, self._attempt, bound, max_tokens, self._partial)
 
-    def prompt_bound(self) -> int:
+    def prompt_token_bound(self) -> int:
         """Upper bound of the next prompt in tokens.
 
         What the engine counted for the last call, and a token for each byte that has
         come since: no tokenizer makes more.
         """
-        return self.last_tokens + self._unsent_bytes + len(self._partial.encode())
+        return self.context_tokens + self._unsent_bytes + len(self._partial.encode())
 
     def model_body(self, step_prefix: str) -> str:
         """Messages for a model call, as JSON."""
--- a/wisteriastair/core/quota.py
+++ b/wisteriastair/core/quota.py
@@ -25,19 +25,19 @@
 from typing import Final, NamedTuple
 
 from .customers import Customer, Quota
-from .hashing import hash_word
-from .membership import Member, over_domains
+from .hashing import hash64
+from .membership import Member, spread_over_domains
 
 # Holders of one customer: with one lost, two thirds of the quota are still there.
 HOLDERS: Final = 3
 # Longest time from a permit to the arrival of its request at a server, in seconds.
-USE_S: Final = 0.3
+PERMIT_LIFETIME_S: Final = 0.3
 # Share of the tolerated excess that permits may use up.  The rest is for requests that
 # run on a second server, and for clocks that differ.
 TOLERANCE_USED: Final = 0.8
 # A permit is given ahead of time by at most this, in seconds; the relay waits for it.
 # A refused caller would take longer to come back.
-AHEAD_S: Final = 0.5
+MAX_ADVANCE_S: Final = 0.5
 # A new holder waits this long, in seconds: more than its predecessor takes to hear of
 # the new list, or to notice that it hears most members no more.
 HANDOVER_S: Final = 2.5
@@ -65,18 +65,18 @@
     ----------
     window_s : float
         Length of the spans that count.
-    over : float
+    excess_fraction : float
         Share by which a span may exceed the quota.
-    slack : float
+    slack_requests : float
         Requests by which it may exceed it besides.
     """
 
     window_s: float = 1.0
-    over: float = 0.0
-    slack: float = 0.0
+    excess_fraction: float = 0.0
+    slack_requests: float = 0.0
 
 
-class Allowance(NamedTuple):
+class HolderQuota(NamedTuple):
     """What the holders of a customer may give out.
 
     Attributes
@@ -92,14 +92,14 @@
     holders: int
 
 
-class Answer(IntEnum):
+class PermitStatus(IntEnum):
     """How a holder answers."""
 
     GRANTED = 0
     # The quota, or what programs under way need of it, is used up.
-    SPENT = 1
+    EXHAUSTED = 1
     # This process is no holder of the customer, or cannot know whether it is.
-    NOT_MINE = 2
+    NOT_HOLDER = 2
 
 
 class Permit(NamedTuple):
@@ -109,49 +109,50 @@
     ----------
     wait_s : float
         Seconds until the permit counts, or until it is worth asking again.
-    not_started : bool
+    is_program_refused : bool
         Whether the program may not begin, however soon its first request could run.
     """
 
-    answer: Answer
+    answer: PermitStatus
     wait_s: float = 0.0
-    not_started: bool = False
+    is_program_refused: bool = False
 
 
 @lru_cache(maxsize=4096)
-def allowance(quota: Quota, bounds: QuotaBounds) -> Allowance:
+def holder_quota(quota: Quota, bounds: QuotaBounds) -> HolderQuota:
     """Work out the parts of a customer's holders.
 
-    What arrives in a window was permitted in a span longer by `USE_S`.  A bucket gives
+    What arrives in a window was permitted in a span longer by `PERMIT_LIFETIME_S`.  A
+    bucket gives
     out its depth and what flows in, so the depth is what the window may hold less the
     inflow of that span; the parts of all holders add up to it.
     """
     rate, burst = quota
     allowed = rate * bounds.window_s + burst
-    tolerated = allowed * bounds.over + bounds.slack
-    inflow = rate * (bounds.window_s + USE_S)
+    tolerated = allowed * bounds.excess_fraction + bounds.slack_requests
+    inflow = rate * (bounds.window_s + PERMIT_LIFETIME_S)
     depth = max(1.0, allowed + TOLERANCE_USED * tolerated - inflow)
     holders = max(1, min(HOLDERS, int(depth)))
-    return Allowance(rate / holders, depth / holders, holders)
+    return HolderQuota(rate / holders, depth / holders, holders)
 
 
 @lru_cache(maxsize=16384)
-def holders_of(
+def quota_holders(
     members: tuple[Member, ...], customer: str, count: int
 ) -> tuple[Member, ...]:
     """Choose a customer's holders, in different failure domains where there are any."""
     order = sorted(
-        members, key=lambda m: hash_word("quota", customer, m.name), reverse=True
+        members, key=lambda m: hash64("quota", customer, m.name), reverse=True
     )
-    return over_domains(order, count)
+    return spread_over_domains(order, count)
 
 
-def asking_order(holders: tuple[Member, ...], program: str) -> list[Member]:
+def query_order(holders: tuple[Member, ...], program: str) -> list[Member]:
     """Order in which holders are asked for a program's permits.
 
     Every relay begins with the same one, which then knows the program.
     """
-    return sorted(holders, key=lambda m: hash_word("permit", program, m.name))
+    return sorted(holders, key=lambda m: hash64("permit", program, m.name))
 
 
 class _Bucket:
@@ -198,7 +199,7 @@
 class _Account:
     """A customer at one of its holders."""
 
-    def __init__(self, share: Allowance, since: float, now: float) -> None:
+    def __init__(self, share: HolderQuota, since: float, now: float) -> None:
         held_s = max(0.0, now - since)
         self.created = since
         self.list_number = -1
@@ -207,7 +208,7 @@
         # By program, the one seen last at the end.
         self.programs: OrderedDict[str, _Program] = OrderedDict()
 
-    def hold_anew(self, share: Allowance, since: float, now: float) -> None:
+    def hold_anew(self, share: HolderQuota, since: float, now: float) -> None:
         """Begin again after a gap in which others may have given permits.
 
         What was given before it still counts: a list that changes many times in a
@@ -283,7 +284,7 @@
                 continue
             if before.quota == customer.quota:
                 continue
-            shares = [allowance(c.quota, self._bounds) for c in (before, customer)]
+            shares = [holder_quota(c.quota, self._bounds) for c in (before, customer)]
             if shares[0].holders != shares[1].holders:
                 # One that comes in must not give out again what the others have.
                 self._redivided[name] = now + HANDOVER_S
@@ -292,7 +293,7 @@
         for name in self._accounts.keys() - customers.keys():
             del self._accounts[name]
 
-    def take_members(self, members: tuple[Member, ...], now: float) -> None:
+    def update_members(self, members: tuple[Member, ...], now: float) -> None:
         """Take a newer list of members."""
         if members == self._lists[-1][0]:
             return
@@ -301,7 +302,7 @@
         self._list_number += 1
 
     def ask(
-        self, customer: str, program: str, kind: str, ahead: bool, now: float
+        self, customer: str, program: str, kind: str, allow_delayed: bool, now: float
     ) -> Permit:
         """Give a permit for one request, or not.
 
@@ -311,18 +312,18 @@
             What the request belongs to; empty for a request by itself.
         kind : str
             Kind of the program if this may be its first request; else empty.
-        ahead : bool
+        allow_delayed : bool
             Whether a permit that counts a little later will do.
         """
         known = self._customers.get(customer)
         if known is None:
-            return Permit(Answer.NOT_MINE)
+            return Permit(PermitStatus.NOT_HOLDER)
         if known.quota is None:
-            return Permit(Answer.GRANTED)
-        share = allowance(known.quota, self._bounds)
+            return Permit(PermitStatus.GRANTED)
+        share = holder_quota(known.quota, self._bounds)
         account = self._account(customer, share, now)
         if account is None:
-            return Permit(Answer.NOT_MINE)
+            return Permit(PermitStatus.NOT_HOLDER)
         account.permits.fill(share.rate_per_s, share.depth, now)
         account.starts.fill(share.rate_per_s, share.depth, now)
         account.forget(self._needs, now)
@@ -330,10 +331,12 @@
         tells = now - account.created > IDLE_S
         begins = tells and bool(kind) and program not in account.programs
         if (begins or not program) and account.starts.level <= 0:
-            return Permit(Answer.SPENT, -account.starts.level / share.rate_per_s, True)
+            return Permit(
+                PermitStatus.EXHAUSTED, -account.starts.level / share.rate_per_s, True
+            )
         wait_s = max(0.0, 1.0 - account.permits.level) / share.rate_per_s
-        if wait_s > (AHEAD_S if ahead else 0.0):
-            return Permit(Answer.SPENT, wait_s)
+        if wait_s > (MAX_ADVANCE_S if allow_delayed else 0.0):
+            return Permit(PermitStatus.EXHAUSTED, wait_s)
         account.permits.level -= 1.0
         if begins:
             account.begin(program, kind, self._needs.of(kind), now)
@@ -341,9 +344,11 @@
             account.note(program, now)
         else:
             account.starts.level -= 1.0
-        return Permit(Answer.GRANTED, wait_s)
+        return Permit(PermitStatus.GRANTED, wait_s)
 
-    def _account(self, customer: str, share: Allowance, now: float) -> _Account | None:
+    def _account(
+        self, customer: str, share: HolderQuota, now: float
+    ) -> _Account | None:
         """Return the account of a customer; None if this is no holder, or not yet."""
         account = self._accounts.get(customer)
         if account is not None and account.list_number == self._list_number:
@@ -369,7 +374,7 @@
         back_at = 0.0
         for place in reversed(range(len(self._lists))):
             members, known_at = self._lists[place]
-            if self._me in holders_of(members, customer, count):
+            if self._me in quota_holders(members, customer, count):
                 held = known_at + (HANDOVER_S if place else 0.0)
                 back_at = known_at
             elif held is None or back_at - known_at > SHORT_GAP_S:
--- a/wisteriastair/core/reach.py
+++ b/wisteriastair/core/reach.py
@@ -19,27 +19,27 @@
 PROBE_S: Final = 0.4
 
 
-class Reach:
+class Reachability:
     """The judgement for one set of peers; they count as there until a failure."""
 
     def __init__(self) -> None:
-        self.away = False
+        self.unreachable = False
         self._good_at = float("-inf")
 
-    def succeeded(self, now: float) -> bool:
+    def record_success(self, now: float) -> bool:
         """Note a success; True if the peers were away before."""
         self._good_at = now
-        was_away = self.away
-        self.away = False
+        was_away = self.unreachable
+        self.unreachable = False
         return was_away
 
-    def failed(self, now: float) -> bool:
+    def record_failure(self, now: float) -> bool:
         """Note a failure; True if the peers count as away from now on."""
-        if self.away or now - self._good_at < FRESH_S:
+        if self.unreachable or now - self._good_at < FRESH_S:
             return False
-        self.away = True
+        self.unreachable = True
         return True
 
-    def wants_probe(self, now: float) -> bool:
+    def is_probe_due(self, now: float) -> bool:
         """Whether to find out now."""
         return now - self._good_at >= PROBE_S
--- a/wisteriastair/core/replica.py
+++ b/wisteriastair/core/replica.py
@@ -41,7 +41,7 @@
 from enum import IntEnum
 from typing import Final, NamedTuple
 
-NOBODY: Final = ""
+NO_MEMBER: Final = ""
 
 
 class Role(IntEnum):
@@ -51,17 +51,17 @@
     LEARNER = 1
     FORMER = 2
     STANDBY = 3
-    CARRIER = 4
+    PRIMARY = 4
 
 
-class Row(NamedTuple):
+class SlotRow(NamedTuple):
     """One row of the slot table.
 
     Attributes
     ----------
     slot : int
         Number of the slot.
-    carrier, standby : str
+    primary, standby : str
         Member ids; an empty standby means that the carrier is alone.
     epoch : int
         Grows by one with every change of the row.
@@ -76,11 +76,11 @@
     """
 
     slot: int
-    carrier: str
+    primary: str
     standby: str
     epoch: int
     fresh: bool = False
-    former: str = NOBODY
+    former: str = NO_MEMBER
     lost: bool = False
 
 
@@ -109,27 +109,27 @@
         Newest positions acknowledged by standby and learner; -1 for none.
     committed : int
         Newest position whose effects may be released.
-    proposal : Row or None
+    proposal : SlotRow or None
         The change of the row that this carrier has asked for.
     former : str
         The former member that the present row names.
     lost : bool
-        See `Row`.
+        See `SlotRow`.
     """
 
     me: str
     slot: int
     role: Role = Role.NONE
     epoch: int = 0
-    peer: str = NOBODY
-    learner: str = NOBODY
+    peer: str = NO_MEMBER
+    learner: str = NO_MEMBER
     session: int = 0
     last: int = 0
     acked: int = -1
     learnt: int = -1
     committed: int = 0
-    proposal: Row | None = None
-    former: str = NOBODY
+    proposal: SlotRow | None = None
+    former: str = NO_MEMBER
     lost: bool = False
 
 
@@ -148,9 +148,9 @@
     While a hand-over is proposed the log stands still, so that both members hold
     the same entries whichever of them the table names carrier.
     """
-    if replica.role is not Role.CARRIER:
+    if replica.role is not Role.PRIMARY:
         return False
-    return replica.proposal is None or replica.proposal.carrier == replica.me
+    return replica.proposal is None or replica.proposal.primary == replica.me
 
 
 def receive_entries(
@@ -193,7 +193,7 @@
     replica: Replica, *, sender: str, epoch: int, session: int, last: int
 ) -> Replica:
     """Take an acknowledgement at a carrier and advance what is committed."""
-    if replica.role is not Role.CARRIER or epoch != replica.epoch:
+    if replica.role is not Role.PRIMARY or epoch != replica.epoch:
         return replica
     if session == 0 and sender == replica.peer:
         replica = replica._replace(acked=max(replica.acked, last))
@@ -203,18 +203,18 @@
 
 
 def _advance(replica: Replica) -> Replica:
-    if replica.peer == NOBODY:
+    if replica.peer == NO_MEMBER:
         return replica
     bound = min(replica.acked, replica.last)
     proposal = replica.proposal
-    if proposal is not None and proposal.standby not in (NOBODY, replica.me):
+    if proposal is not None and proposal.standby not in (NO_MEMBER, replica.me):
         bound = min(bound, replica.learnt)
     return replica._replace(committed=max(replica.committed, bound))
 
 
 def start_copy(replica: Replica, learner: str) -> Replica:
     """Choose a new copy holder; its positions are unknown until it answers."""
-    assert replica.role is Role.CARRIER
+    assert replica.role is Role.PRIMARY
     return replica._replace(learner=learner, session=replica.session + 1, learnt=-1)
 
 
@@ -223,7 +223,7 @@
     proposal = replica.proposal
     if proposal is not None and proposal.standby == replica.learner:
         return replica
-    return replica._replace(learner=NOBODY, learnt=-1)
+    return replica._replace(learner=NO_MEMBER, learnt=-1)
 
 
 def learn(
@@ -234,7 +234,7 @@
     A member that still has a named role ignores the copy: it must first hear that
     the table has moved on.
     """
-    named = replica.role in (Role.STANDBY, Role.CARRIER)
+    named = replica.role in (Role.STANDBY, Role.PRIMARY)
     if named or epoch < replica.epoch:
         return replica
     same_row = epoch == replica.epoch
@@ -246,12 +246,12 @@
         peer=sender,
         session=session,
         last=last,
-        former=replica.former if same_row else NOBODY,
+        former=replica.former if same_row else NO_MEMBER,
         lost=replica.lost,
     )
 
 
-def takeover_row(replica: Replica) -> Row | None:
+def takeover_row(replica: Replica) -> SlotRow | None:
     """Return the row to propose for taking over from a suspected carrier.
 
     None if this member may not: it is neither the standby nor the former member.
@@ -259,24 +259,24 @@
     former = replica.former == replica.me
     if replica.role is not Role.STANDBY and not former:
         return None
-    return _next_row(replica, replica.me, NOBODY, former=replica.peer)
+    return _next_row(replica, replica.me, NO_MEMBER, former=replica.peer)
 
 
 def propose_alone(replica: Replica) -> Replica:
     """Propose that a carrier goes on without the standby it suspects."""
-    if replica.role is not Role.CARRIER or replica.peer == NOBODY:
+    if replica.role is not Role.PRIMARY or replica.peer == NO_MEMBER:
         return replica
     if replica.proposal is not None:
         return replica
-    row = _next_row(replica, replica.me, NOBODY, former=replica.peer)
+    row = _next_row(replica, replica.me, NO_MEMBER, former=replica.peer)
     return replica._replace(proposal=row)
 
 
 def propose_learner(replica: Replica) -> Replica:
     """Propose the learner as standby once it holds all that is committed."""
-    if replica.role is not Role.CARRIER or replica.proposal is not None:
+    if replica.role is not Role.PRIMARY or replica.proposal is not None:
         return replica
-    if replica.learner == NOBODY or replica.learnt < replica.committed:
+    if replica.learner == NO_MEMBER or replica.learnt < replica.committed:
         return replica
     row = _next_row(replica, replica.me, replica.learner)
     return replica._replace(proposal=row)
@@ -284,19 +284,19 @@
 
 def propose_handover(replica: Replica) -> Replica:
     """Propose to swap roles with the standby, once it holds the whole log."""
-    if replica.role is not Role.CARRIER or replica.proposal is not None:
+    if replica.role is not Role.PRIMARY or replica.proposal is not None:
         return replica
-    if replica.peer == NOBODY or replica.acked < replica.last:
+    if replica.peer == NO_MEMBER or replica.acked < replica.last:
         return replica
     return replica._replace(proposal=_next_row(replica, replica.peer, replica.me))
 
 
 def _next_row(
-    replica: Replica, carrier: str, standby: str, former: str = NOBODY
-) -> Row:
-    return Row(
+    replica: Replica, primary: str, standby: str, former: str = NO_MEMBER
+) -> SlotRow:
+    return SlotRow(
         replica.slot,
-        carrier,
+        primary,
         standby,
         replica.epoch + 1,
         former=former,
@@ -304,7 +304,7 @@
     )
 
 
-def observe_row(replica: Replica, row: Row) -> Replica:
+def observe_row(replica: Replica, row: SlotRow) -> Replica:
     """Take a confirmed row of the table.
 
     A row of an epoch already seen changes nothing.  A member that the row does not
@@ -313,35 +313,35 @@
     if row.epoch <= replica.epoch:
         return replica
     holds_log = row.fresh or replica.role is not Role.NONE
-    if not holds_log or replica.me not in (row.carrier, row.standby, row.former):
+    if not holds_log or replica.me not in (row.primary, row.standby, row.former):
         return Replica(me=replica.me, slot=replica.slot, epoch=row.epoch)
-    if row.carrier == replica.me:
-        return _become_carrier(replica, row)
+    if row.primary == replica.me:
+        return _become_primary(replica, row)
     return Replica(
         me=replica.me,
         slot=replica.slot,
         role=Role.STANDBY if row.standby == replica.me else Role.FORMER,
         epoch=row.epoch,
-        peer=row.carrier,
+        peer=row.primary,
         last=0 if row.fresh else replica.last,
         former=row.former,
         lost=row.lost,
     )
 
 
-def _become_carrier(replica: Replica, row: Row) -> Replica:
-    was_carrier = replica.role is Role.CARRIER and not row.fresh
-    promoted = was_carrier and row.standby == replica.learner != NOBODY
+def _become_primary(replica: Replica, row: SlotRow) -> Replica:
+    was_primary = replica.role is Role.PRIMARY and not row.fresh
+    promoted = was_primary and row.standby == replica.learner != NO_MEMBER
     result = Replica(
         me=replica.me,
         slot=replica.slot,
-        role=Role.CARRIER,
+        role=Role.PRIMARY,
         epoch=row.epoch,
         peer=row.standby,
         session=replica.session,
         last=0 if row.fresh else replica.last,
         acked=replica.learnt if promoted else -1,
-        committed=replica.committed if was_carrier else 0,
+        committed=replica.committed if was_primary else 0,
         former=row.former,
         lost=row.lost,
     )
--- a/wisteriastair/core/silence.py
+++ b/wisteriastair/core/retries.py
@@ -23,23 +23,23 @@
 REPEATS_MOST: Final = 10.0
 
 
-class Silence:
+class RetryPolicy:
     """What is usual at each service, and how many repeats are left."""
 
     def __init__(self) -> None:
         self._usual_s: dict[str, float] = {}
         self._repeats = REPEATS_MOST
 
-    def asked(self) -> None:
+    def record_request(self) -> None:
         """Note a request, which earns its share of a repeat."""
         self._repeats = min(REPEATS_MOST, self._repeats + REPEAT_SHARE)
 
-    def answered(self, service: str, seconds: float) -> None:
+    def record_response(self, service: str, seconds: float) -> None:
         """Note how long a server took for a whole answer."""
         usual_s = self._usual_s.setdefault(service, seconds)
         self._usual_s[service] = usual_s + USUAL_GAIN * (seconds - usual_s)
 
-    def limit_s(self, service: str) -> float | None:
+    def attempt_timeout_s(self, service: str) -> float | None:
         """Return after how many seconds a server of a service is silent.
 
         None if that is not known, or if nothing may be repeated now.
@@ -49,6 +49,6 @@
             return None
         return max(SILENT_LEAST_S, SILENT_TIMES * usual_s)
 
-    def repeated(self) -> None:
+    def record_retry(self) -> None:
         """Note that a request is sent once more."""
         self._repeats -= 1.0
--- a/wisteriastair/core/reuse.py
+++ b/wisteriastair/core/reuse.py
@@ -17,7 +17,7 @@
 from functools import lru_cache
 from typing import Final, NamedTuple
 
-from .hashing import hash_word
+from .hashing import hash64
 
 # Parts remembered for one server: the turns of some minutes at 2.4 a second.
 MOST_PARTS: Final = 512
@@ -28,14 +28,14 @@
 FIRST_OWN: Final = 1
 
 
-class PromptPart(NamedTuple):
+class PromptSegment(NamedTuple):
     """A part of a prompt; the last ones belong to the program or its line of turns."""
 
     id: str
     tokens: int
 
 
-class KnownParts:
+class CachedSegments:
     """Parts that one server has read, with their tokens; the oldest are forgotten."""
 
     def __init__(self) -> None:
@@ -47,14 +47,14 @@
     def __len__(self) -> int:
         return len(self._tokens)
 
-    def note(self, parts: Iterable[PromptPart]) -> None:
+    def add(self, parts: Iterable[PromptSegment]) -> None:
         """Note that a server has read a prompt."""
         for part in parts:
             self._tokens[part.id] = max(part.tokens, self._tokens.pop(part.id, 0))
         while len(self._tokens) > MOST_PARTS:
             del self._tokens[next(iter(self._tokens))]
 
-    def lacking(self, parts: tuple[PromptPart, ...], total: int = 0) -> float:
+    def lacking(self, parts: tuple[PromptSegment, ...], total: int = 0) -> float:
         """Share of a prompt's tokens that the server would have to read.
 
         A part counts only if all before it are there too, as in the server's cache.
@@ -78,7 +78,9 @@
         return 1.0 - held / total
 
 
-def agreed_server(parts: tuple[PromptPart, ...], servers: tuple[str, ...]) -> str:
+def rendezvous_server(
+    parts: tuple[PromptSegment, ...], servers: tuple[str, ...]
+) -> str:
     """Id of the server that all processes take for a program's; empty for none.
 
     Parameters
@@ -95,12 +97,12 @@
 def _first(part_id: str, servers: tuple[str, ...]) -> str:
     if len(servers) > MOST_RANKED:
         order = _hash_order(servers)
-        start = bisect(order, (hash_word("program", part_id), ""))
+        start = bisect(order, (hash64("program", part_id), ""))
         around = (order[(start + n) % len(order)] for n in range(MOST_RANKED))
         servers = tuple(name for _, name in around)
-    return max(servers, key=lambda name: hash_word("program", part_id, name))
+    return max(servers, key=lambda name: hash64("program", part_id, name))
 
 
 @lru_cache(maxsize=16)
 def _hash_order(servers: tuple[str, ...]) -> list[tuple[int, str]]:
-    return sorted((hash_word("server", name), name) for name in servers)
+    return sorted((hash64("server", name), name) for name in servers)
--- a/wisteriastair/core/routes.py
+++ b/wisteriastair/core/routes.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from .customers import Customers
-from .hashing import hash_word
+from .hashing import hash64
 
 HASH_RANGE = 2.0**64
 
@@ -24,7 +24,7 @@
     STREAM = "stream"
 
 
-class Share(NamedTuple):
+class WeightedService(NamedTuple):
     """A service and its weight among the requests of a route."""
 
     service: str
@@ -38,25 +38,25 @@
     ----------
     host, prefix : str
         What selects it; the host is in lower case.
-    shares : tuple of Share
+    weighted_services : tuple of WeightedService
         Services that answer, at least one.
     timeout_s : float
         Seconds after which a request gets its final answer; 0 for no limit.
-    aim_s : float
+    target_latency_s : float
         Seconds within which an answer is on time.
     rank : int
         Urgency; 0 is the most urgent.
     max_servers : int
         Servers on which one request may be run.
-    keeps_history : bool
+    retains_history : bool
         A turn carries only its new input; the system adds what was said before.
     retention_s : float
         Seconds for which turns and budgets are kept.
     resumable : bool
         A stream may go on at another server after its last event.
-    gap_s : float
+    target_gap_s : float
         Longest pause between events that is still on time.
-    is_open : bool
+    is_public : bool
         Requests need no key.
     """
 
@@ -64,17 +64,17 @@
     host: str
     prefix: str
     kind: RequestKind
-    shares: tuple[Share, ...]
+    weighted_services: tuple[WeightedService, ...]
     timeout_s: float
-    aim_s: float
+    target_latency_s: float
     rank: int
     max_servers: int
-    keeps_history: bool
+    retains_history: bool
     retention_s: float
     sticky: bool
     resumable: bool
-    gap_s: float
-    is_open: bool = False
+    target_gap_s: float
+    is_public: bool = False
 
     @property
     def repeatable(self) -> bool:
@@ -83,18 +83,18 @@
 
     def service_for(self, request_id: str) -> str:
         """Choose the service of a request by its share; stable for a request id."""
-        if len(self.shares) == 1:
-            return self.shares[0].service
-        total = sum(share.weight for share in self.shares)
-        mark = hash_word("share", self.name, request_id) / HASH_RANGE * total
-        for share in self.shares:
+        if len(self.weighted_services) == 1:
+            return self.weighted_services[0].service
+        total = sum(share.weight for share in self.weighted_services)
+        mark = hash64("share", self.name, request_id) / HASH_RANGE * total
+        for share in self.weighted_services:
             mark -= share.weight
             if mark < 0:
                 return share.service
-        return self.shares[-1].service
+        return self.weighted_services[-1].service
 
 
-class EngineTraits(NamedTuple):
+class EngineSpec(NamedTuple):
     """What the configuration says of the engines of a service.
 
     Attributes
@@ -123,16 +123,16 @@
 
     name: str
     max_connections: int
-    engine: EngineTraits | None
+    engine: EngineSpec | None
 
 
 class CallerLimits(NamedTuple):
     """What a caller may send, and how long it may take or stay idle, in seconds."""
 
-    header_bytes: int = 16_384
-    body_bytes: int = 4_194_304
-    header_s: float = 3.0
-    idle_s: float = 15.0
+    max_header_bytes: int = 16_384
+    max_body_bytes: int = 4_194_304
+    header_timeout_s: float = 3.0
+    idle_timeout_s: float = 15.0
 
 
 class RouteTable:
@@ -147,7 +147,7 @@
 
     Attributes
     ----------
-    longest_s : float
+    max_timeout_s : float
         The longest time that any route gives a request, in seconds; infinite if one
         has no limit.
     """
@@ -168,7 +168,7 @@
         self._by_host: dict[str, dict[str, Route]] = {}
         for route in routes:
             self._by_host.setdefault(route.host, {})[route.prefix] = route
-        self.longest_s = max(
+        self.max_timeout_s = max(
             (r.timeout_s or math.inf for r in routes), default=math.inf
         )
 
--- a/wisteriastair/core/routing.py
+++ b/wisteriastair/core/routing.py
@@ -14,7 +14,7 @@
 from abc import ABC, abstractmethod
 from typing import Final, NamedTuple
 
-from .hashing import hash_word, rank
+from .hashing import hash64, rendezvous_order
 from .wire import ServerLoad
 
 CROWD_SHARE: Final = 0.1
@@ -118,7 +118,7 @@
 
     def choose(self, call: Call, candidates: list[Candidate]) -> Candidate:
         """Choose the most cached tokens, then the service's own server."""
-        order = rank(call.program, [c.server for c in candidates])
+        order = rendezvous_order(call.program, [c.server for c in candidates])
         return max(candidates, key=lambda c: (c.cached_tokens, -order.index(c.server)))
 
 
@@ -149,7 +149,7 @@
 
 
 def _tie(call: Call, candidate: Candidate) -> int:
-    return hash_word(call.program, candidate.server)
+    return hash64(call.program, candidate.server)
 
 
 ROUTERS: Final = ("cost", "round-robin", "least-load", "affinity")
--- a/wisteriastair/core/running.py
+++ b/wisteriastair/core/running.py
@@ -1,6 +1,7 @@
 """The programs on their carrier, and what it keeps beside their committed state.
 
-Nothing here outlives the carrier: a successor starts with an empty `Running` and asks
+Nothing here outlives the carrier: a successor starts with an empty `RunningProgram` and
+asks
 the gates.
 """
 
@@ -32,7 +33,7 @@
         self.expires = 0.0
 
 
-class Running:
+class RunningProgram:
     """A program on its carrier.
 
     Attributes
@@ -47,7 +48,7 @@
         When the gate was last asked about the open call, and last heard.
     not_before : float
         No new attempt earlier.
-    avoid : str
+    avoid_server : str
         Server that refused or lost the last attempt.
     trace : str
         Parent span for the hops of this program.
@@ -62,7 +63,7 @@
         self.asked_at = 0.0
         self.heard_at = 0.0
         self.not_before = 0.0
-        self.avoid = ""
+        self.avoid_server = ""
         self.trace = ""
         self.subscribers: dict[str, Subscriber] = {}
 
@@ -106,7 +107,7 @@
             subscriber.number = number
             subscriber.offset = offset + len(new)
 
-    def pending(self, request: str) -> ProgramPending:
+    def pending_message(self, request: str) -> ProgramPending:
         """Tell a request that its program is under way."""
         return ProgramPending(request, self.program.start.program)
 
@@ -138,7 +139,7 @@
         The configuration in force.
     now : float
         Time of the present step in seconds.
-    by_name : dict of str to Running
+    by_name : dict of str to RunningProgram
         Every program, under way or kept for late askers.
     live : dict of str to None
         Names of those under way, in the order in which they came.
@@ -147,7 +148,7 @@
     def __init__(self) -> None:
         self.config: Config = EMPTY_CONFIG
         self.now = 0.0
-        self.by_name: dict[str, Running] = {}
+        self.by_name: dict[str, RunningProgram] = {}
         self.live: dict[str, None] = {}
         self._slots: Slots
 
@@ -160,29 +161,29 @@
         """Connect the replication below (the two know each other)."""
         self._slots = slots
 
-    def may_append(self, run: Running) -> bool:
+    def may_append(self, run: RunningProgram) -> bool:
         """Whether records can be added to a program's slot now."""
         return self._slots.may_append(run.slot)
 
-    def epoch(self, run: Running) -> int:
+    def epoch(self, run: RunningProgram) -> int:
         """Epoch under which a program is carried."""
         return self._slots.epoch(run.slot)
 
     def append(
-        self, run: Running, record: Record, *, new_program: bool = False
+        self, run: RunningProgram, record: Record, *, new_program: bool = False
     ) -> None:
         """Add a record; it takes effect when it is committed."""
         if not new_program:
             run.uncommitted += 1
         self._slots.append(run.slot, record.program, record)
 
-    def forget(self, run: Running) -> None:
+    def forget(self, run: RunningProgram) -> None:
         """Drop a program from the log and from here."""
         name = run.program.start.program
         self._slots.append(run.slot, name, None)
         del self.by_name[name]
 
-    def service(self, run: Running) -> Service:
+    def service(self, run: RunningProgram) -> Service:
         """Return a program's service as configured now, or as it was at its start."""
         definition = run.program.start.definition
         return self.config.services.get(definition.name, definition)
--- a/wisteriastair/core/side.py
+++ b/wisteriastair/core/side.py
@@ -9,15 +9,14 @@
 from typing import Final, NamedTuple
 
 from .admission import Admission
-from .balance import Balance
+from .balance import SlotBalancer
 from .calls import Calls
-from .carrier import Carrier
 from .config import CONFIG_KEY, decode_config
 from .dispatch import Dispatcher
 from .docs import Docs
 from .events import (
+    BackendCacheReport,
     BackendEnded,
-    BackendHeld,
     BackendText,
     Drained,
     Effect,
@@ -37,6 +36,7 @@
 from .outbox import Outbox
 from .peers import Peers
 from .placement import Placement
+from .primary import Primary
 from .routing import EngineModel, make_router
 from .running import RunningPrograms
 from .slots import Slots
@@ -96,21 +96,21 @@
         self.dispatcher = Dispatcher(make_router(cfg.router, cfg.engine), self.peers)
         self.programs = RunningPrograms()
         self.calls = Calls(self.programs, self.dispatcher, self.peers, self.out)
-        self.carrier = Carrier(self.programs, self.calls, self.out)
+        self.primary = Primary(self.programs, self.calls, self.out)
         self.slots = Slots(
             me,
             placement=self.placement,
             peers=self.peers,
             out=self.out,
-            listener=self.carrier,
+            listener=self.primary,
         )
         self.programs.bind(self.slots)
-        self.balance = Balance(
+        self.balance = SlotBalancer(
             me, slots=self.slots, placement=self.placement, peers=self.peers
         )
         self.admission = Admission(
             me,
-            carrier=self.carrier,
+            primary=self.primary,
             programs=self.programs,
             slots=self.slots,
             dispatcher=self.dispatcher,
@@ -142,7 +142,7 @@
             case BackendEnded():
                 for gate in self.gates.values():
                     gate.on_ended(event, now)
-            case BackendHeld(server, programs):
+            case BackendCacheReport(server, programs):
                 self.gates[server].reconcile(programs)
             case InstancesSeen(instances):
                 self.peers.instances = instances
@@ -169,7 +169,7 @@
             self._take_doc(event.key, event.revision, event.value)
         if not self.placement.owns(event.key):
             return
-        self.out.extend(self.placement.on_answer(event, now))
+        self.out.extend(self.placement.on_kv_response(event, now))
 
     def _take_doc(self, key: str, revision: int, value: bytes) -> None:
         """Take a document and pass it on if it is news."""
@@ -181,7 +181,7 @@
             self._mark_leaving()
             self.out.note(f"configuration {revision} in force")
         elif self.placement.owns(key):
-            for row in self.placement.take(value):
+            for row in self.placement.apply_segment(value):
                 self.slots.observe(row)
 
     def _mark_leaving(self) -> None:
@@ -257,13 +257,13 @@
 
     def _tick(self, now: float) -> None:
         self.peers.carried = self.slots.count()
-        self.peers.leads = len(self.slots.carried())
+        self.peers.leads = len(self.slots.open_slots())
         self.peers.tick(self.slots.partners(), now)
         self.out.extend(self.docs.tick(now))
         self.slots.tick(now)
         self.balance.tick(now)
         self.out.extend(self.placement.tick(now))
-        self.carrier.tick()
+        self.primary.tick()
         self.admission.tick(now)
         for gate in self.gates.values():
             gate.tick(now)
--- a/wisteriastair/core/slots.py
+++ b/wisteriastair/core/slots.py
@@ -20,7 +20,7 @@
 from .peers import Peers
 from .placement import Placement
 from .records import Record, encode_record
-from .replica import NOBODY, Replica, Role, Row
+from .replica import NO_MEMBER, Replica, Role, SlotRow
 from .slotlog import SlotLog
 from .slotstate import SlotState
 from .wire import Acknowledge, Append, Copy, CopyEnd, Entry
@@ -72,7 +72,7 @@
         self._dirty: set[int] = set()
         self._now = 0.0
 
-    def carried(self) -> list[int]:
+    def open_slots(self) -> list[int]:
         """Slots whose programs run here now."""
         return [n for n, slot in self._slots.items() if slot.is_open]
 
@@ -117,7 +117,7 @@
         for slot in self._slots.values():
             replica = slot.replica
             found |= {replica.peer, replica.learner, replica.former}
-        return found - {NOBODY, self._me}
+        return found - {NO_MEMBER, self._me}
 
     def count(self) -> int:
         """Slots carried or copied here."""
@@ -126,11 +126,11 @@
 
     # Rows of the table
 
-    def observe(self, row: Row) -> None:
+    def observe(self, row: SlotRow) -> None:
         """Take a confirmed row."""
         slot = self._slots.get(row.slot)
         if slot is None:
-            if self._me not in (row.carrier, row.standby, row.former):
+            if self._me not in (row.primary, row.standby, row.former):
                 return
             slot = self._slots[row.slot] = SlotState(self._me, row.slot)
         before = slot.replica
@@ -141,7 +141,7 @@
         slot.row_at = self._now
         if row.fresh:
             slot.log = SlotLog()
-        if after.role is not Role.CARRIER:
+        if after.role is not Role.PRIMARY:
             self._close(slot)
         if after.role is Role.NONE:
             del self._slots[row.slot]
@@ -186,7 +186,7 @@
     def on_acknowledge(self, sender: str, ack: Acknowledge, now: float) -> None:
         """Take a copy's acknowledgement."""
         slot = self._slots.get(ack.slot)
-        if slot is None or slot.replica.role is not Role.CARRIER:
+        if slot is None or slot.replica.role is not Role.PRIMARY:
             return
         before = slot.replica
         slot.replica = rp.acknowledged(
@@ -206,7 +206,7 @@
     def _advance(self, slot: SlotState) -> None:
         """Let what is newly committed take effect."""
         replica = slot.replica
-        if replica.role is not Role.CARRIER or replica.peer == NOBODY:
+        if replica.role is not Role.PRIMARY or replica.peer == NO_MEMBER:
             return
         if not slot.is_open and replica.committed >= replica.last:
             slot.is_open = True
@@ -216,14 +216,14 @@
             _, record = slot.waiting.popleft()
             self._listener.committed(replica.slot, record)
         low = replica.acked
-        if replica.learner != NOBODY:
+        if replica.learner != NO_MEMBER:
             low = min(low, max(replica.learnt, slot.fed))
         slot.log.trim_tail(low)
 
     def _maybe_name(self, slot: SlotState) -> None:
         replica = slot.replica
-        alone = replica.peer == NOBODY
-        if replica.learner == NOBODY or replica.learnt < 0:
+        alone = replica.peer == NO_MEMBER
+        if replica.learner == NO_MEMBER or replica.learnt < 0:
             return
         if alone and replica.learnt < replica.last:
             return
@@ -238,15 +238,15 @@
         """Send appended entries, all of one step in one message a slot."""
         for number in sorted(self._dirty):
             slot = self._slots.get(number)
-            if slot is not None and slot.replica.role is Role.CARRIER:
+            if slot is not None and slot.replica.role is Role.PRIMARY:
                 self._send_entries(slot, now)
         self._dirty.clear()
 
     def _send_entries(self, slot: SlotState, now: float) -> None:
         replica = slot.replica
-        if replica.peer != NOBODY:
+        if replica.peer != NO_MEMBER:
             slot.sent = self._send_after(slot, replica.peer, 0, slot.sent)
-        if replica.learner != NOBODY and slot.fed >= 0:
+        if replica.learner != NO_MEMBER and slot.fed >= 0:
             session = replica.session
             slot.fed = self._send_after(slot, replica.learner, session, slot.fed)
         if slot.resend_at <= now:
@@ -274,16 +274,16 @@
     def tick(self, now: float) -> None:
         """Suspect, repair, hand over, repeat what was not acknowledged."""
         self._now = now
-        copying = sum(1 for s in self._slots.values() if s.replica.learner != NOBODY)
+        copying = sum(1 for s in self._slots.values() if s.replica.learner != NO_MEMBER)
         for slot in list(self._slots.values()):
             replica = slot.replica
             if replica.role in (Role.STANDBY, Role.FORMER, Role.LEARNER):
-                self._watch_carrier(slot, now)
-            elif replica.role is Role.CARRIER:
-                copying += self._tend_carrier(slot, copying, now)
+                self._watch_primary(slot, now)
+            elif replica.role is Role.PRIMARY:
+                copying += self._maintain_primary(slot, copying, now)
         self.flush(now)
 
-    def _watch_carrier(self, slot: SlotState, now: float) -> None:
+    def _watch_primary(self, slot: SlotState, now: float) -> None:
         """Propose a takeover from a suspected carrier, or take the proposal back."""
         replica = slot.replica
         # A lone carrier that is only cut off from its former partner needs a moment
@@ -298,22 +298,22 @@
         else:
             self._placement.withdraw(replica.slot)
 
-    def _tend_carrier(self, slot: SlotState, copying: int, now: float) -> int:
+    def _maintain_primary(self, slot: SlotState, copying: int, now: float) -> int:
         replica = slot.replica
-        if replica.peer != NOBODY and self._standby_fails(slot, now):
+        if replica.peer != NO_MEMBER and self._standby_fails(slot, now):
             self._propose(slot, rp.propose_alone(replica))
         if now >= slot.resend_at:
             slot.sent = replica.acked
             if slot.fed >= 0:
                 slot.fed = replica.learnt
-            behind = replica.acked < replica.last or replica.learner != NOBODY
+            behind = replica.acked < replica.last or replica.learner != NO_MEMBER
             if behind:
                 self._dirty.add(replica.slot)
-        if replica.learner != NOBODY:
+        if replica.learner != NO_MEMBER:
             self._watch_learner(slot, now)
             return 0
         peer_leaves = self._peers.is_draining(replica.peer)
-        if replica.peer == NOBODY or peer_leaves:
+        if replica.peer == NO_MEMBER or peer_leaves:
             return self._start_copy(slot, copying, now)
         if self._peers.draining:
             self._propose(slot, rp.propose_handover(replica))
--- a/wisteriastair/core/stopping.py
+++ b/wisteriastair/core/stopping.py
@@ -12,38 +12,38 @@
 
 # Callers are served as ever for this long after the signal, in seconds: the platform
 # needs two questions, one a second, to notice that a process is leaving.
-NOTICE_S: Final = 2.5
+REROUTE_S: Final = 2.5
 # Kept free before the kill that follows the grace period, in seconds.
 MARGIN_S: Final = 0.7
 # A request whose time is over still gets its final answer within this, in seconds.
 ANSWER_S: Final = 0.1
 
 
-class Stop(NamedTuple):
+class Shutdown(NamedTuple):
     """A planned stop under way.
 
     Attributes
     ----------
-    began : float
+    started_at : float
         When the signal came, in seconds of the process's clock.
     grace_s : float
         Seconds between the signal and the kill.
     """
 
-    began: float
+    started_at: float
     grace_s: float
 
     @property
     def ends_at(self) -> float:
         """When whatever is still under way is broken off."""
-        return self.began + max(0.0, self.grace_s - MARGIN_S)
+        return self.started_at + max(0.0, self.grace_s - MARGIN_S)
 
     @property
-    def noticed_at(self) -> float:
+    def rerouted_at(self) -> float:
         """When the platform can be expected to lead new callers elsewhere."""
-        return min(self.began + NOTICE_S, self.ends_at)
+        return min(self.started_at + REROUTE_S, self.ends_at)
 
-    def last_call_at(self, longest_s: float) -> float:
+    def stop_accepting_at(self, max_timeout_s: float) -> float:
         """Return when the last request is taken.
 
         As late as whatever is taken can still use all of its time: callers that come
@@ -55,7 +55,7 @@
 
         Parameters
         ----------
-        longest_s : float
+        max_timeout_s : float
             The longest time that a request may take, in seconds.
         """
-        return max(self.noticed_at, self.ends_at - ANSWER_S - longest_s)
+        return max(self.rerouted_at, self.ends_at - ANSWER_S - max_timeout_s)
--- a/wisteriastair/core/storetimes.py
+++ b/wisteriastair/core/storetimes.py
@@ -26,32 +26,32 @@
 MOST_WATCH_S: Final = 2.0
 
 
-class StoreTimes(NamedTuple):
+class StoreTimeouts(NamedTuple):
     """Limits of calls and pauses, in seconds.
 
     Attributes
     ----------
-    call_s : float
+    call_timeout_s : float
         How long any call but a watch may go unanswered.
-    watch_s : float
+    watch_wait_s : float
         How long a watch waits when the call before it was answered.
-    retry_watch_s : float
+    retry_watch_wait_s : float
         How long a watch waits after a call that failed.
-    slack_s : float
+    watch_grace_s : float
         How much later than it was to wait a watch is given up.
-    pause_s, pause_max_s : float
+    backoff_s, max_backoff_s : float
         The pause after a first failed call; it doubles up to the second one.
     """
 
-    call_s: float
-    watch_s: float
-    retry_watch_s: float
-    slack_s: float
-    pause_s: float
-    pause_max_s: float
+    call_timeout_s: float
+    watch_wait_s: float
+    retry_watch_wait_s: float
+    watch_grace_s: float
+    backoff_s: float
+    max_backoff_s: float
 
 
-def make_store_times(contact_s: float) -> StoreTimes:
+def make_store_timeouts(contact_s: float) -> StoreTimeouts:
     """Derive the limits from the time that a process has to find the store again.
 
     Parameters
@@ -60,16 +60,16 @@
         Seconds after the store's return within which a process must know what it holds.
     """
     patience_s = max(LEAST_CALL_S, contact_s - MARGIN_S)
-    pause_max_s = min(PAUSE_MAX_S, PAUSE_SHARE * patience_s)
-    pause_s = min(PAUSE_S, pause_max_s)
-    call_s = patience_s - pause_max_s
-    return StoreTimes(
-        call_s=_within(call_s, LEAST_CALL_S, MOST_CALL_S),
-        watch_s=_watch(patience_s - pause_s),
-        retry_watch_s=_watch(call_s),
-        slack_s=SLACK_S,
-        pause_s=pause_s,
-        pause_max_s=pause_max_s,
+    max_backoff_s = min(PAUSE_MAX_S, PAUSE_SHARE * patience_s)
+    backoff_s = min(PAUSE_S, max_backoff_s)
+    call_timeout_s = patience_s - max_backoff_s
+    return StoreTimeouts(
+        call_timeout_s=_within(call_timeout_s, LEAST_CALL_S, MOST_CALL_S),
+        watch_wait_s=_watch(patience_s - backoff_s),
+        retry_watch_wait_s=_watch(call_timeout_s),
+        watch_grace_s=SLACK_S,
+        backoff_s=backoff_s,
+        max_backoff_s=max_backoff_s,
     )
 
 
--- a/wisteriastair/core/watchers.py
+++ b/wisteriastair/core/watchers.py
@@ -20,9 +20,9 @@
 
 import msgspec
 
-from .hashing import address_of, rank
-from .ledgerwire import StoreNews, Subscribe
-from .membership import Member, View, holder_order, over_domains
+from .hashing import address_of, rendezvous_order
+from .ledgerwire import StoreUpdate, Subscribe
+from .membership import Member, View, sort_local_first, spread_over_domains
 
 # A change has to be in force everywhere within a bound that the operators set.  A watch
 # waits a quarter of it at most, so that a calm store confirms itself four times within
@@ -50,7 +50,7 @@
     """How long a watch of the store waits, and how long its word counts, in seconds."""
 
     wait_s: float
-    limit_s: float
+    validity_s: float
 
 
 def make_watch_times(bound_s: float) -> WatchTimes:
@@ -59,17 +59,17 @@
     return WatchTimes(bound_s / WAITS_IN_BOUND, bound_s / LIMIT_IN_BOUND)
 
 
-def watchers_of(view: View, losses: int) -> tuple[Member, ...]:
+def watchers_of(view: View, max_failures: int) -> tuple[Member, ...]:
     """Choose the members that watch: one more than may be lost, in different domains.
 
     Parameters
     ----------
-    losses : int
+    max_failures : int
         Members that may be lost at once.
     """
     by_name = {member.name: member for member in view.members}
-    order = [by_name[name] for name in rank("store watch", by_name)]
-    return over_domains(order, losses + 1)
+    order = [by_name[name] for name in rendezvous_order("store watch", by_name)]
+    return spread_over_domains(order, max_failures + 1)
 
 
 class _Heard(NamedTuple):
@@ -77,7 +77,7 @@
 
     at: float
     revision: int
-    in_touch: bool
+    store_reachable: bool
 
 
 class Subscription:
@@ -89,17 +89,19 @@
         Address of this process.
     domain : str
         Its failure domain; values come from a watcher there if there is one.
-    losses : int
+    max_failures : int
         Members that may be lost at once.
     times : WatchTimes
         How long the word of a watcher counts.
     """
 
-    def __init__(self, me: str, domain: str, losses: int, times: WatchTimes) -> None:
+    def __init__(
+        self, me: str, domain: str, max_failures: int, times: WatchTimes
+    ) -> None:
         self.times = times
         self._me = me
         self._domain = domain
-        self._losses = losses
+        self._max_failures = max_failures
         self._members: tuple[Member, ...] = ()
         self._members_since = NEVER
         self._chosen_from: tuple[Member, ...] = ()
@@ -129,11 +131,11 @@
         if self._members == self._chosen_from or not (settled or not self._watchers):
             return
         self._chosen_from = self._members
-        chosen = watchers_of(view, self._losses)
-        self._watchers = [m.address for m in holder_order(chosen, self._domain)]
+        chosen = watchers_of(view, self._max_failures)
+        self._watchers = [m.address for m in sort_local_first(chosen, self._domain)]
         self._renew_at = NEVER
 
-    def due(self, now: float) -> list[tuple[str, Subscribe]]:
+    def due_subscriptions(self, now: float) -> list[tuple[str, Subscribe]]:
         """Return the subscriptions to send now.
 
         Values are wanted from one watcher only: a large configuration from each of
@@ -151,19 +153,21 @@
         fresh = [a for a in self._watchers if self._is_fresh(a, now)]
         return next(iter(fresh or self._watchers), "")
 
-    def hear(self, sender: str, news: StoreNews, now: float) -> None:
+    def on_update(self, sender: str, store_update: StoreUpdate, now: float) -> None:
         """Note what a watcher says."""
         address = address_of(sender)
         if address not in self._watchers:
             return
-        self._heard[address] = _Heard(now, news.revision, news.in_touch)
-        oldest = now - self.times.limit_s
+        self._heard[address] = _Heard(
+            now, store_update.revision, store_update.store_reachable
+        )
+        oldest = now - self.times.validity_s
         self._heard = {
             a: h for a, h in self._heard.items() if a in self._watchers or h.at > oldest
         }
         self._note_behind(now)
 
-    def holds(self, revision: int, now: float) -> None:
+    def set_revision(self, revision: int, now: float) -> None:
         """Note the revision up to which this process knows all changes."""
         self._revision = revision
         self._note_behind(now)
@@ -177,9 +181,9 @@
 
     def _is_fresh(self, address: str, now: float) -> bool:
         heard = self._heard.get(address)
-        if heard is None or not heard.in_touch:
+        if heard is None or not heard.store_reachable:
             return False
-        return now - heard.at <= self.times.limit_s
+        return now - heard.at <= self.times.validity_s
 
     def covered_until(self, now: float) -> float:
         """Return until when this process need not watch; in the past if it must now.
@@ -190,19 +194,21 @@
         if self.is_watcher:
             return NEVER
         fresh = [h.at for a, h in self._heard.items() if self._is_fresh(a, now)]
-        until = max(fresh, default=NEVER) + self.times.limit_s
+        until = max(fresh, default=NEVER) + self.times.validity_s
         if self._behind_since is not None:
             until = min(until, self._behind_since + GRACE_S)
         return until
 
-    def store_lost(self, now: float) -> bool:
+    def is_store_down(self, now: float) -> bool:
         """Whether watchers were heard a while ago, and all say that it is away."""
-        recent = [h for h in self._heard.values() if now - h.at <= self.times.limit_s]
-        return bool(recent) and not any(h.in_touch for h in recent)
+        recent = [
+            h for h in self._heard.values() if now - h.at <= self.times.validity_s
+        ]
+        return bool(recent) and not any(h.store_reachable for h in recent)
 
 
 def make_subscription(
-    me: str, domain: str, losses: int, bound_s: float
+    me: str, domain: str, max_failures: int, bound_s: float
 ) -> Subscription:
     """Make what a process needs to hear from the watchers.
 
@@ -211,7 +217,7 @@
     bound_s : float
         Seconds within which a change of the store has to be in force.
     """
-    return Subscription(me, domain, losses, make_watch_times(bound_s))
+    return Subscription(me, domain, max_failures, make_watch_times(bound_s))
 
 
 class Subscribers:
@@ -225,20 +231,26 @@
         """Take or renew a subscription; True if it is new."""
         new = sender not in self._until
         self._until[sender] = now + LEASE_S
-        self._wants_values[sender] = wish.values
+        self._wants_values[sender] = wish.with_values
         return new
 
-    def any(self, now: float) -> bool:
+    def has_active(self, now: float) -> bool:
         """Whether anybody relies on this process."""
         self._expire(now)
         return bool(self._until)
 
-    def tell(self, news: StoreNews, now: float) -> list[tuple[str, StoreNews]]:
+    def make_updates(
+        self, store_update: StoreUpdate, now: float
+    ) -> list[tuple[str, StoreUpdate]]:
         """Return the messages that carry some news to all subscribers."""
         self._expire(now)
-        bare = msgspec.structs.replace(news, changes=None) if news.changes else news
+        bare = (
+            msgspec.structs.replace(store_update, changes=None)
+            if store_update.changes
+            else store_update
+        )
         return [
-            (member, news if self._wants_values[member] else bare)
+            (member, store_update if self._wants_values[member] else bare)
             for member in self._until
         ]
 
--- a/wisteriastair/core/wire.py
+++ b/wisteriastair/core/wire.py
@@ -347,7 +347,7 @@
     program: str
 
 
-class NotCarrier(NamedTuple):
+class NotPrimary(NamedTuple):
     """The receiver does not carry the slot; ask the table again."""
 
     request: str
@@ -408,7 +408,7 @@
     | ProgramText
     | ProgramOutcome
     | ProgramPending
-    | NotCarrier
+    | NotPrimary
     | ListPrograms
     | ProgramList
 )
--- a/wisteriastair/daemons/entry.py
+++ b/wisteriastair/daemons/entry.py
@@ -22,7 +22,15 @@
 from ..callers.api import CallerApi
 from ..callers.gateway import Gateway
 from ..core.config import CONFIG_KEY, Change, Config
-from ..core.entry import Ask, CallerEvent, Done, EntryCore, Refused, Rows, ToCaller
+from ..core.entry import (
+    CallerEvent,
+    DeliverToCaller,
+    Done,
+    EntryCore,
+    ProgramRows,
+    Refused,
+    RequestSpec,
+)
 from ..core.entry import EntryOptions as CoreOptions
 from ..core.events import (
     Effect,
@@ -36,7 +44,7 @@
     KvWritten,
     Send,
 )
-from ..core.replica import Row
+from ..core.replica import SlotRow
 from ..core.wire import Message
 from ..errors import Failure
 from ..metrics import entry_metrics_route
@@ -46,7 +54,7 @@
 from ..peers.corecodec import CORE_CODEC
 from ..peers.transport import Transport
 from ..platform.instances import make_instance_list
-from ..platform.kv import make_key_value
+from ..platform.kv import make_key_value_store
 from ..tracing import make_tracer, start_span, traceparent_of
 from .platform_link import PlatformLink
 from .side import new_member
@@ -80,7 +88,7 @@
         )
         self._cfg = cfg
         self._tracer = make_tracer(common.trace_file)
-        self._key_value = make_key_value(common.platform_url)
+        self._key_value = make_key_value_store(common.platform_url)
         self._platform = PlatformLink(
             self._key_value, make_instance_list(common.platform_url), self._on_event
         )
@@ -144,12 +152,12 @@
             case _:
                 pass
 
-    def _do(self, effects: Sequence[Effect | ToCaller]) -> None:
+    def _do(self, effects: Sequence[Effect | DeliverToCaller]) -> None:
         for effect in effects:
             match effect:
                 case Send(to, message):
                     self.transport.send(to, message)
-                case ToCaller(request, event):
+                case DeliverToCaller(request, event):
                     stream = self._streams.get(request)
                     if stream is not None:
                         stream.send_nowait(event)
@@ -172,25 +180,27 @@
     # Gateway
 
     @asynccontextmanager
-    async def open(self, ask: Ask) -> AsyncIterator[AsyncIterator[CallerEvent]]:
+    async def open(
+        self, spec: RequestSpec
+    ) -> AsyncIterator[AsyncIterator[CallerEvent]]:
         """Take a request and yield its events."""
         request = uuid.uuid4().hex
-        span = start_span(self._tracer, f"entry {ask.kind}", "", request=request)
+        span = start_span(self._tracer, f"entry {spec.kind}", "", request=request)
         # The stream is bounded by the output of one program, which its budget limits.
         send, receive = anyio.create_memory_object_stream[CallerEvent](math.inf)
         self._streams[request] = send
         try:
-            traced = ask._replace(trace=traceparent_of(span))
-            self._do(self.core.ask(request, traced, time.time()))
+            traced = spec._replace(trace=traceparent_of(span))
+            self._do(self.core.submit(request, traced, time.time()))
             yield _until_last(receive)
         finally:
-            self.core.leave(request)
+            self.core.drop_request(request)
             del self._streams[request]
             send.close()
             receive.close()
             span.end()
 
-    async def list_programs(self, customer: str, limit: int) -> Rows:
+    async def list_programs(self, customer: str, limit: int) -> ProgramRows:
         """List programs of all carriers."""
         request = uuid.uuid4().hex
         send, receive = anyio.create_memory_object_stream[CallerEvent](1)
@@ -202,7 +212,7 @@
             del self._streams[request]
             send.close()
             receive.close()
-        assert isinstance(event, Rows), "a listing ends with its rows"
+        assert isinstance(event, ProgramRows), "a listing ends with its rows"
         return event
 
     async def change(
@@ -224,7 +234,7 @@
         """Return the instance list."""
         return self.core.instances
 
-    def rows(self) -> list[Row]:
+    def rows(self) -> list[SlotRow]:
         """Return the slot table."""
         return list(self.core.placement.rows.values())
 
--- a/wisteriastair/daemons/platform_link.py
+++ b/wisteriastair/daemons/platform_link.py
@@ -23,7 +23,7 @@
 )
 from ..core.placement import SEGMENT_PREFIX
 from ..platform.instances import InstanceList
-from ..platform.kv import KeyValue
+from ..platform.kv import KeyValueStore
 
 INSTANCES_EVERY_S: Final = 2.0
 WATCH_RETRY_S: Final = 0.5
@@ -37,7 +37,7 @@
     """Carries out the core's platform effects and delivers what comes back."""
 
     def __init__(
-        self, key_value: KeyValue, instances: InstanceList, deliver: Deliver
+        self, key_value: KeyValueStore, instances: InstanceList, deliver: Deliver
     ) -> None:
         self.calls = 0
         self._key_value = key_value
--- a/wisteriastair/daemons/side.py
+++ b/wisteriastair/daemons/side.py
@@ -12,9 +12,9 @@
 from anyio.abc import TaskGroup
 
 from ..core.events import (
+    BackendCacheReport,
     BackendCall,
     BackendCancel,
-    BackendHeld,
     BackendRelease,
     BackendText,
     Drained,
@@ -23,7 +23,7 @@
     KvRead,
     KvSwap,
     KvWatch,
-    Note,
+    LogMessage,
     Received,
     Send,
     StopRequested,
@@ -41,7 +41,7 @@
 from ..peers.corecodec import CORE_CODEC
 from ..peers.transport import Transport
 from ..platform.instances import make_instance_list
-from ..platform.kv import make_key_value
+from ..platform.kv import make_key_value_store
 from ..services.client import make_plain_service
 from ..tracing import make_tracer, start_span, traceparent_of
 from .platform_link import PlatformLink
@@ -95,7 +95,7 @@
         self._engines = {name: make_engine(url) for name, url in models.items()}
         self._plain = {name: make_plain_service(url) for name, url in plain.items()}
         self._platform = PlatformLink(
-            make_key_value(common.platform_url),
+            make_key_value_store(common.platform_url),
             make_instance_list(common.platform_url),
             self.deliver,
         )
@@ -155,7 +155,7 @@
             case BackendRelease(server, programs):
                 if server in self._engines:
                     self._group.start_soon(self._release, server, programs)
-            case Note(level, text, program):
+            case LogMessage(level, text, program):
                 number = logging.getLevelName(level.upper())
                 extra = {"member": self.member, "program": program}
                 log.log(number, text, extra=extra)
@@ -197,7 +197,7 @@
             for server, engine in self._engines.items():
                 held = await engine.held()
                 if held is not None:
-                    self.deliver(BackendHeld(server, held))
+                    self.deliver(BackendCacheReport(server, held))
 
     async def _watch_signals(self) -> None:
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
--- a/wisteriastair/errors.py
+++ b/wisteriastair/errors.py
@@ -25,7 +25,7 @@
     CONFLICT = "conflict"
     KEY_REUSED = "key_reused"
     OVERLOADED = "overloaded"
-    NO_CARRIER = "no_carrier"
+    NO_PRIMARY = "no_carrier"
     NO_SERVER = "no_server"
     PLATFORM_DOWN = "platform_down"
     OUTCOME_UNKNOWN = "outcome_unknown"
@@ -65,7 +65,7 @@
     Code.TOO_LARGE: 413,
     Code.OVERLOADED: 429,
     Code.PLATFORM_DOWN: 503,
-    Code.NO_CARRIER: 503,
+    Code.NO_PRIMARY: 503,
     Code.NO_SERVER: 503,
     Code.STOPPING: 503,
     Code.TIMED_OUT: 504,
--- a/wisteriastair/http1/caller.py
+++ b/wisteriastair/http1/caller.py
@@ -26,13 +26,13 @@
 from .messages import (
     LAST_CHUNK,
     BadRequest,
-    Head,
     Headers,
     Request,
+    ResponseHead,
     chunk,
+    encode_head,
     header,
     status_line,
-    write_head,
 )
 
 # Pipelined requests that may wait before the channel is not read any more.
@@ -51,11 +51,11 @@
     """Answers requests and knows the limits that callers are held to."""
 
     @abstractmethod
-    async def handle(self, req: Request, channel: CallerChannel) -> None:
+    async def handle(self, req: Request, caller_conn: CallerConnection) -> None:
         """Answer one request on its channel."""
 
     @abstractmethod
-    def refuse(self, bad: BadRequest, channel: CallerChannel) -> None:
+    def refuse(self, bad: BadRequest, caller_conn: CallerConnection) -> None:
         """Answer a request that could not be taken; the channel ends afterwards."""
 
     @abstractmethod
@@ -63,11 +63,11 @@
         """Limits in force."""
 
     @abstractmethod
-    def closing(self) -> bool:
+    def is_closing(self) -> bool:
         """Whether channels are to end after their next answer."""
 
 
-class CallerChannel(asyncio.Protocol):
+class CallerConnection(asyncio.Protocol):
     """One connection of a caller.
 
     Parameters
@@ -76,18 +76,18 @@
         Answers the requests.
     group : TaskGroup
         Runs the answers.
-    channels : set
+    caller_conns : set
         Where the channel lists itself while it is open.
     """
 
     def __init__(
-        self, handler: Handler, group: TaskGroup, channels: set[CallerChannel]
+        self, handler: Handler, group: TaskGroup, caller_conns: set[CallerConnection]
     ) -> None:
         self.closed = False
         self.busy = False
         self._handler = handler
         self._group = group
-        self._channels = channels
+        self._caller_conns = caller_conns
         self._loop = asyncio.get_running_loop()
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport
@@ -110,12 +110,12 @@
         assert isinstance(transport, asyncio.Transport), "callers connect over TCP"
         self._transport = transport
         transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
-        self._channels.add(self)
+        self._caller_conns.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Cancel what is under way: nobody waits for it any more."""
         self.closed = True
-        self._channels.discard(self)
+        self._caller_conns.discard(self)
         self._writable.set()
         self._waiting.clear()
         if self._scope is not None:
@@ -146,11 +146,11 @@
         except httptools.HttpParserError as exc:
             self._refuse(400, f"not HTTP: {exc}")
         limits = self._handler.limits()
-        if not self._head_done and self._head_bytes > limits.header_bytes:
-            self._refuse(431, f"headers over {limits.header_bytes} bytes")
+        if not self._head_done and self._head_bytes > limits.max_header_bytes:
+            self._refuse(431, f"headers over {limits.max_header_bytes} bytes")
         self._serve_next()
 
-    def check(self, now: float) -> None:
+    def enforce_timeouts(self, now: float) -> None:
         """Close or refuse a channel that took too long; called from time to time."""
         limits = self._handler.limits()
         waited_s = now - self._since
@@ -160,16 +160,19 @@
             if waited_s > LINGER_S:
                 self._transport.close()
         elif not self._begun:
-            if waited_s > limits.idle_s:
+            if waited_s > limits.idle_timeout_s:
                 self._transport.close()
-        elif waited_s > (limits.idle_s if self._head_done else limits.header_s):
+        elif waited_s > (
+            limits.idle_timeout_s if self._head_done else limits.header_timeout_s
+        ):
             self._refuse(408, "the request did not arrive in time")
             self._serve_next()
 
-    def finish_idle(self) -> None:
+    def close_if_idle(self) -> None:
         """Close a channel on which nothing is under way.
 
-        One that lingers after its last answer is left to `check`: closed beneath a
+        One that lingers after its last answer is left to `enforce_timeouts`: closed
+        beneath a
         caller that still sends it would be reset, and the answer lost on its way.
         """
         if self._ended or self.busy or self._waiting or self._begun:
@@ -212,10 +215,10 @@
         limits = self._handler.limits()
         length = header(self._headers, b"content-length")
         size = sum(len(name) + len(value) + 4 for name, value in self._headers)
-        if size + len(self._url) > limits.header_bytes:
-            self._refuse(431, f"headers over {limits.header_bytes} bytes")
-        elif length and int(length) > limits.body_bytes:
-            self._refuse(413, f"body over {limits.body_bytes} bytes")
+        if size + len(self._url) > limits.max_header_bytes:
+            self._refuse(431, f"headers over {limits.max_header_bytes} bytes")
+        elif length and int(length) > limits.max_body_bytes:
+            self._refuse(413, f"body over {limits.max_body_bytes} bytes")
         elif header(self._headers, b"expect").lower() == "100-continue":
             self._transport.write(CONTINUE)
 
@@ -224,8 +227,10 @@
         if self._ended:
             return
         self._body_bytes += len(body)
-        if self._body_bytes > self._handler.limits().body_bytes:
-            self._refuse(413, f"body over {self._handler.limits().body_bytes} bytes")
+        if self._body_bytes > self._handler.limits().max_body_bytes:
+            self._refuse(
+                413, f"body over {self._handler.limits().max_body_bytes} bytes"
+            )
             return
         self._body.append(body)
 
@@ -314,15 +319,15 @@
         if self.closed:
             return
         last = [*headers, (b"Content-Length", str(len(body)).encode())]
-        self._transport.write(self._head(Head(status, last)) + body)
+        self._transport.write(self._head(ResponseHead(status, last)) + body)
         self._answered = True
 
-    def begin(self, head: Head, first: bytes = b"") -> None:
+    def begin(self, head: ResponseHead, first: bytes = b"") -> None:
         """Send the head of an answer whose body follows in chunks."""
         if self.closed:
             return
         headers = [*head.headers, (b"Transfer-Encoding", b"chunked")]
-        data = self._head(Head(head.status, headers))
+        data = self._head(ResponseHead(head.status, headers))
         self._transport.write(data + (chunk(first) if first else b""))
         self._streaming = True
 
@@ -343,21 +348,21 @@
         self._transport.abort()
 
     @property
-    def writable(self) -> bool:
+    def is_writable(self) -> bool:
         """Whether the caller has read enough for more to be sent."""
         return self._writable.is_set()
 
-    async def drained(self) -> None:
+    async def wait_writable(self) -> None:
         """Wait until the caller has read enough for more to be sent."""
         await self._writable.wait()
 
-    def _head(self, head: Head) -> bytes:
+    def _head(self, head: ResponseHead) -> bytes:
         headers = head.headers
-        if self._handler.closing() or self._ended:
+        if self._handler.is_closing() or self._ended:
             self._keep = False
         if not self._keep:
             headers = [*headers, (b"Connection", b"close")]
-        return write_head(status_line(head.status), headers)
+        return encode_head(status_line(head.status), headers)
 
     def _end_writing(self) -> None:
         """End the channel after its last answer.
--- a/wisteriastair/http1/messages.py
+++ b/wisteriastair/http1/messages.py
@@ -59,7 +59,7 @@
     reason: str
 
 
-class Head(NamedTuple):
+class ResponseHead(NamedTuple):
     """Status line and headers of an answer."""
 
     status: int
@@ -83,7 +83,7 @@
     return [(key, value) for key, value in headers if key.lower() not in dropped]
 
 
-def write_head(first_line: bytes, headers: Headers) -> bytes:
+def encode_head(first_line: bytes, headers: Headers) -> bytes:
     """Write a head."""
     lines = [first_line]
     lines += [key + b": " + value for key, value in headers]
--- a/wisteriastair/http1/server.py
+++ b/wisteriastair/http1/server.py
@@ -16,7 +16,7 @@
 
 import httptools
 
-from .messages import Head, Headers, header
+from .messages import Headers, ResponseHead, header
 
 KEEP_ALIVE: Final = b"keep-alive"
 INFORMATIONAL: Final = 200
@@ -26,10 +26,10 @@
 Sink = Callable[[bytes], bool]
 
 
-class EndKind(Enum):
+class ExchangeOutcome(Enum):
     """How an exchange ended."""
 
-    WHOLE = "whole"
+    COMPLETE = "whole"
     # The channel ended, or was not HTTP, before the answer was whole.
     BROKEN = "broken"
 
@@ -37,7 +37,7 @@
 class End(NamedTuple):
     """End of an exchange and, unless it is whole, what happened."""
 
-    kind: EndKind
+    outcome: ExchangeOutcome
     reason: str = ""
 
 
@@ -47,30 +47,30 @@
     def __init__(self, request_id: str, method: str) -> None:
         self.request_id = request_id
         self.method = method
-        self.head: Head | None = None
+        self.head: ResponseHead | None = None
         self.end: End | None = None
         self._parts: deque[bytes] = deque()
         self._waiter: asyncio.Future[None] | None = None
         self._sink: Sink | None = None
 
-    def pass_to(self, sink: Sink) -> None:
+    def forward_to(self, sink: Sink) -> None:
         """Pass parts on as they arrive, until the sink wants no more.
 
         Each part is passed on in the callback that brought it.  Waking a task for it
         costs another turn of the loop: a turn of ten events took a relay 1.9 ms of
         processor time so, and 1.7 ms this way (``python -m tests.relay.bench``).
         """
-        data = self.take()
+        data = self.read_available()
         if not data or sink(data):
             self._sink = sink
 
-    def take(self) -> bytes:
+    def read_available(self) -> bytes:
         """Take the part of the body that has arrived."""
         data = b"".join(self._parts)
         self._parts.clear()
         return data
 
-    async def wait(self) -> None:
+    async def wait_data(self) -> None:
         """Wait until something new has arrived."""
         if self._parts or self.end is not None:
             return
@@ -104,22 +104,22 @@
             self._waiter.set_result(None)
 
 
-class ServerChannel(asyncio.Protocol):
+class ServerConnection(asyncio.Protocol):
     """One connection to a backend server.
 
     Parameters
     ----------
-    on_stray : callable
+    on_unexpected_data : callable
         Told when bytes arrive that belong to no request.
     """
 
-    def __init__(self, on_stray: Callable[[], None]) -> None:
+    def __init__(self, on_unexpected_data: Callable[[], None]) -> None:
         self.closed = False
         self.idle_since = 0.0
         # Seconds for which the server keeps an idle channel; None if it did not say.
         self.keep_alive_s: float | None = None
-        self.used = 0
-        self._on_stray = on_stray
+        self.request_count = 0
+        self._on_stray = on_unexpected_data
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport
         self._parser = httptools.HttpResponseParser(self)
@@ -137,12 +137,12 @@
         self.closed = True
         if self._exchange is not None:
             reason = "channel closed" if exc is None else f"channel lost: {exc!r}"
-            self._exchange.finish(End(EndKind.BROKEN, reason))
+            self._exchange.finish(End(ExchangeOutcome.BROKEN, reason))
 
     def eof_received(self) -> bool:
         """Take the orderly end of the channel: it ends answers without a length."""
         if self._exchange is not None and self._until_close and not self._skipped:
-            self._exchange.finish(End(EndKind.WHOLE))
+            self._exchange.finish(End(ExchangeOutcome.COMPLETE))
         return False
 
     def data_received(self, data: bytes) -> None:
@@ -155,16 +155,16 @@
             self._parser.feed_data(data)
         except httptools.HttpParserError as exc:
             self._reusable = False
-            exchange.finish(End(EndKind.BROKEN, f"not HTTP: {exc}"))
+            exchange.finish(End(ExchangeOutcome.BROKEN, f"not HTTP: {exc}"))
             self._transport.abort()
 
     # Requests
 
-    def start(self, exchange: Exchange, data: bytes) -> None:
+    def send_request(self, exchange: Exchange, data: bytes) -> None:
         """Send a request; the answer arrives in the exchange."""
         assert self._exchange is None, "one request at a time on a channel"
         self._exchange = exchange
-        self.used += 1
+        self.request_count += 1
         self._transport.write(data)
 
     def release(self, now: float) -> bool:
@@ -179,7 +179,7 @@
         whole = (
             exchange is not None
             and exchange.end is not None
-            and exchange.end.kind is EndKind.WHOLE
+            and exchange.end.outcome is ExchangeOutcome.COMPLETE
         )
         written = not self.closed and self._transport.get_write_buffer_size() == 0
         if whole and written and self._reusable and not self.closed:
@@ -187,12 +187,12 @@
         self.close()
         return False
 
-    def pause(self) -> None:
+    def pause_reading(self) -> None:
         """Stop reading, since the caller reads more slowly."""
         if not self.closed:
             self._transport.pause_reading()
 
-    def resume(self) -> None:
+    def resume_reading(self) -> None:
         """Read on."""
         if not self.closed:
             self._transport.resume_reading()
@@ -246,11 +246,11 @@
         if self._until_close or not self._parser.should_keep_alive():
             self._reusable = False
         self._note_keep_alive()
-        exchange.head = Head(status, self._headers)
+        exchange.head = ResponseHead(status, self._headers)
         exchange.wake()
         if exchange.method == "HEAD":
             self._reusable = False
-            exchange.finish(End(EndKind.WHOLE))
+            exchange.finish(End(ExchangeOutcome.COMPLETE))
 
     def on_body(self, body: bytes) -> None:
         """Take a part of the body."""
@@ -260,7 +260,7 @@
     def on_message_complete(self) -> None:
         """End the answer."""
         if not self._skipped and self._exchange is not None:
-            self._exchange.finish(End(EndKind.WHOLE))
+            self._exchange.finish(End(ExchangeOutcome.COMPLETE))
 
     def _note_keep_alive(self) -> None:
         for part in header(self._headers, KEEP_ALIVE).split(","):
--- a/wisteriastair/keeper/daemon.py
+++ b/wisteriastair/keeper/daemon.py
@@ -19,39 +19,39 @@
 
 from ..core.keeper import KeeperCore
 from ..core.ledgerwire import (
-    AskDocuments,
     Document,
-    KnownDocuments,
+    DocumentsReply,
+    DocumentsRequest,
     LedgerMessage,
-    StoreNews,
+    StoreUpdate,
     Subscribe,
 )
 from ..core.membership import Member, View, next_view
-from ..core.storetimes import make_store_times
+from ..core.storetimes import make_store_timeouts
 from ..core.watchers import Subscribers, make_subscription
 from ..logs import dropped_lines
 from ..nodemetrics import KeeperMetrics, serve_metrics
 from ..nodeoptions import NodeOptions
 from ..peers.ledgercodec import (
+    LEDGER_ACK_TIMEOUTS,
+    LEDGER_BATCH_DELAY_S,
     LEDGER_CODEC,
     LEDGER_DEPLOYMENT,
-    LEDGER_GATHER_S,
-    LEDGER_PATIENCE,
 )
 from ..peers.transport import Transport
 from ..platform.documents import (
     CONFIG_KEY,
-    RETIRE,
     RETIRE_DONE,
+    RETIRE_KEY_PREFIX,
     RETIRE_RUNNING,
-    RETIRE_STATUS,
-    SERVERS,
+    RETIRE_STATUS_KEY_PREFIX,
+    SERVER_KEY_PREFIX,
     VIEW_KEY,
-    BadDocument,
+    InvalidDocument,
     decode_config,
 )
 from ..platform.mirror import Mirror
-from ..platform.store import Item, Store, StoreTrouble, Swapped
+from ..platform.store import Store, StoreError, StoreItem, Swapped
 from .documents import Documents
 from .log import Log
 from .storage import Storage
@@ -79,18 +79,18 @@
         self._cfg = cfg
         self._log = Log(os.path.join(cfg.data_dir, "ledger"))
         self._documents = Documents(os.path.join(cfg.data_dir, "store"))
-        self._store = Store(cfg.store, make_store_times(cfg.contact_s))
+        self._store = Store(cfg.store, make_store_timeouts(cfg.contact_s))
         self._subscription = make_subscription(
-            cfg.internal, cfg.domain, cfg.tolerated_losses, cfg.change_s
+            cfg.internal, cfg.domain, cfg.max_failures, cfg.change_s
         )
         self._subscribers = Subscribers()
         self._mirror = Mirror(
             self._store,
             self._on_item,
-            self._documents.keep_only,
+            self._documents.retain_only,
             subscription=self._subscription,
-            on_news=self._tell,
-            relied_on=lambda: self._subscribers.any(time.monotonic()),
+            on_update=self._tell,
+            has_subscribers=lambda: self._subscribers.has_active(time.monotonic()),
         )
         self._stop = anyio.Event()
         self._metrics = KeeperMetrics()
@@ -112,7 +112,7 @@
         )
         self._core = KeeperCore(
             me,
-            self._cfg.tolerated_losses,
+            self._cfg.max_failures,
             view=loaded.view,
             entries=loaded.entries,
             now=now,
@@ -139,8 +139,8 @@
             self._on_message,
             deployment=LEDGER_DEPLOYMENT,
             codec=LEDGER_CODEC,
-            gather_s=LEDGER_GATHER_S,
-            patience=LEDGER_PATIENCE,
+            batch_delay_s=LEDGER_BATCH_DELAY_S,
+            ack_timeouts=LEDGER_ACK_TIMEOUTS,
         )
         async with anyio.create_task_group() as group:
             self._start(group)
@@ -180,28 +180,33 @@
     # Messages and batches
 
     def _on_message(self, sender: str, message: LedgerMessage) -> None:
-        if isinstance(message, AskDocuments):
-            known = KnownDocuments(self._documents.all(), self._mirror.revision)
+        if isinstance(message, DocumentsRequest):
+            known = DocumentsReply(self._documents.all(), self._mirror.revision)
             self._transport.send(sender, known)
             return
         if isinstance(message, Subscribe):
-            news = self._mirror.news()
-            if self._subscribers.add(sender, message, time.monotonic()) and news:
-                self._transport.send(sender, news)
+            store_update = self._mirror.store_update()
+            if (
+                self._subscribers.add(sender, message, time.monotonic())
+                and store_update
+            ):
+                self._transport.send(sender, store_update)
             return
-        if isinstance(message, StoreNews):
-            self._mirror.take_news(sender, message)
+        if isinstance(message, StoreUpdate):
+            self._mirror.apply_update(sender, message)
             return
         self._core.receive(sender, message, time.monotonic())
         self._send()
         self._storage.wake()
 
-    def _tell(self, news: StoreNews) -> None:
-        for to, message in self._subscribers.tell(news, time.monotonic()):
+    def _tell(self, store_update: StoreUpdate) -> None:
+        for to, message in self._subscribers.make_updates(
+            store_update, time.monotonic()
+        ):
             self._transport.send(to, message)
 
     def _send(self) -> None:
-        for to, message in self._core.take_outbox():
+        for to, message in self._core.drain_outbox():
             self._transport.send(to, message)
 
     # Time
@@ -212,7 +217,7 @@
             self._core.tick(now)
             self._send()
             self._subscription.set_view(self._core.view, now)
-            for address, wish in self._subscription.due(now):
+            for address, wish in self._subscription.due_subscriptions(now):
                 self._transport.send(address, wish)
             await anyio.sleep(TICK_S)
 
@@ -240,11 +245,11 @@
             "view_number": core.view.number,
             "view_changing": bool(core.view.old),
             "accounts": len(core.ledger.accounts),
-            "turn_bytes": core.ledger.held_bytes,
+            "turn_bytes": core.ledger.turn_bytes,
             "stale_refused": core.stale_refused,
-            "store_calls": self._store.calls,
+            "store_calls": self._store.call_count,
             "store_revision": self._mirror.revision,
-            "store_watched": self._mirror.watches,
+            "store_watched": self._mirror.is_watching,
             "log_lines_dropped": dropped_lines(),
         }
         for name, value in values.items():
@@ -252,8 +257,8 @@
 
     # The view and requests to empty an instance
 
-    def _on_item(self, item: Item) -> None:
-        remembered = item.key == CONFIG_KEY or item.key.startswith(SERVERS)
+    def _on_item(self, item: StoreItem) -> None:
+        remembered = item.key == CONFIG_KEY or item.key.startswith(SERVER_KEY_PREFIX)
         if item.value is None:
             self._documents.remove(item.key)
         elif remembered or item.key == VIEW_KEY:
@@ -262,8 +267,8 @@
             self._take_view(item.revision, item.value)
         elif item.key == CONFIG_KEY and item.value is not None:
             self._take_config(item.value)
-        elif item.key.startswith(RETIRE):
-            name = item.key.removeprefix(RETIRE)
+        elif item.key.startswith(RETIRE_KEY_PREFIX):
+            name = item.key.removeprefix(RETIRE_KEY_PREFIX)
             (self._leaving.discard if item.value is None else self._leaving.add)(name)
             self._core.leaving = frozenset(self._leaving)
             log.info("instances to be emptied", extra={"names": sorted(self._leaving)})
@@ -271,7 +276,7 @@
     def _take_config(self, value: bytes) -> None:
         """Learn the customers' quotas; one that does not decode changes nothing."""
         table = decode_config(value)
-        if isinstance(table, BadDocument):
+        if isinstance(table, InvalidDocument):
             log.error(
                 "value in the store does not decode",
                 extra={"key": table.key, "reason": table.reason},
@@ -312,7 +317,7 @@
             await self._report_emptied()
             now = time.monotonic()
             proposal = next_view(
-                core.view, core.wishes(now), self._cfg.tolerated_losses
+                core.view, core.observation(now), self._cfg.max_failures
             )
             if proposal != wanted:
                 wanted, wanted_since = proposal, now
@@ -336,7 +341,7 @@
             log.info("view proposed", extra=_describe(view))
             self._take_view(outcome.revision, msgspec.json.encode(view))
             return
-        reason = outcome.reason if isinstance(outcome, StoreTrouble) else "raced"
+        reason = outcome.reason if isinstance(outcome, StoreError) else "raced"
         log.info("view not written", extra={"reason": reason, "base": base})
         await anyio.sleep(PROPOSE_PAUSE_S)
 
@@ -352,7 +357,7 @@
         for name in sorted(self._leaving - self._retire_done):
             held = any(m.name == name for m in (*view.members, *view.old))
             status = RETIRE_RUNNING if held else RETIRE_DONE
-            outcome = await self._store.put(RETIRE_STATUS + name, status)
+            outcome = await self._store.put(RETIRE_STATUS_KEY_PREFIX + name, status)
             log.info(
                 "told that an instance is emptied" if not held else "emptying",
                 extra={"name_of_instance": name, "outcome": str(outcome)},
--- a/wisteriastair/keeper/documents.py
+++ b/wisteriastair/keeper/documents.py
@@ -71,7 +71,7 @@
         if self._known.pop(key, None) is not None:
             self.changed = True
 
-    def keep_only(self, present: set[str]) -> None:
+    def retain_only(self, present: set[str]) -> None:
         """Forget what a full reading of the store does not list."""
         for key in list(self._known):
             if key not in present:
--- a/wisteriastair/keeper/storage.py
+++ b/wisteriastair/keeper/storage.py
@@ -63,7 +63,7 @@
     async def run(self, send: Callable[[], None]) -> None:
         """Write batches until cancelled; ``send`` sends what was answered."""
         while True:
-            batch = self._core.take_batch()
+            batch = self._core.next_batch()
             if batch is None:
                 self._wake = anyio.Event()
                 await self._wake.wait()
@@ -75,19 +75,19 @@
 
     async def _sync(self, batch: Batch) -> None:
         if not batch.entries and batch.view is None:
-            self._core.synced(batch)
+            self._core.on_synced(batch)
             return
         began = self._clock()
         try:
             self._disk.append(batch.entries, batch.view, began)
         except OSError as exc:
             log.error("disk refused a batch", extra={"reason": repr(exc)})
-            self._core.not_synced(batch)
+            self._core.on_sync_failed(batch)
             await anyio.sleep(REFUSED_PAUSE_S)
             return
         self._metrics.sync.observe(self._clock() - began)
         self._metrics.records.inc(len(batch.entries))
-        self._core.synced(batch)
+        self._core.on_synced(batch)
 
     async def give_back_space(self, now: float) -> bool:
         """Drop expired accounts, and the oldest segment if it is past its time.
--- a/wisteriastair/metrics.py
+++ b/wisteriastair/metrics.py
@@ -18,7 +18,7 @@
 
 from .core.entry import EntryCore
 from .core.side import SideCore
-from .peers.transport import TransportCounts
+from .peers.transport import TransportCounters
 
 
 def _gauge(name: str, text: str, value: float) -> Metric:
@@ -29,18 +29,18 @@
     return CounterMetricFamily(f"wisteriastair_{name}", text, value=value)
 
 
-def _transport_metrics(counts: TransportCounts) -> Iterable[Metric]:
+def _transport_metrics(counts: TransportCounters) -> Iterable[Metric]:
     yield _counter("messages_sent", "Messages to peers", counts.messages_sent)
     yield _counter("messages_received", "Messages of peers", counts.messages_received)
     yield _counter("peer_bytes_sent", "Bytes to peers", counts.bytes_sent)
-    yield _counter("peer_redials", "Silent connections replaced", counts.redials)
-    yield _counter("frames_foreign", "Frames of others dropped", counts.foreign)
+    yield _counter("peer_redials", "Silent connections replaced", counts.reconnects)
+    yield _counter("frames_foreign", "Frames of others dropped", counts.foreign_frames)
     yield _counter("messages_dropped", "Messages over the queue", counts.dropped)
 
 
 class _SideCollector(Collector):
     def __init__(
-        self, core: SideCore, counts: TransportCounts, busy_s: Callable[[], float]
+        self, core: SideCore, counts: TransportCounters, busy_s: Callable[[], float]
     ) -> None:
         self._core = core
         self._counts = counts
@@ -51,7 +51,7 @@
         yield from _transport_metrics(self._counts)
         yield _gauge("slots_held", "Slots carried or copied", core.slots.count())
         yield _gauge("programs_active", "Programs under way", core.programs.active)
-        yield _counter("programs_ended", "Programs ended", core.carrier.finished)
+        yield _counter("programs_ended", "Programs ended", core.primary.finished_count)
         yield _counter("programs_refused", "Starts refused", core.admission.refused)
         yield _counter("table_writes", "Slot table writes", core.placement.writes)
         yield _counter("docs_refused", "Older documents refused", core.docs.refused)
@@ -77,7 +77,7 @@
 
 
 class _EntryCollector(Collector):
-    def __init__(self, core: EntryCore, counts: TransportCounts) -> None:
+    def __init__(self, core: EntryCore, counts: TransportCounters) -> None:
         self._core = core
         self._counts = counts
 
@@ -102,7 +102,7 @@
 def make_side_app(
     member: str,
     core: SideCore,
-    counts: TransportCounts,
+    counts: TransportCounters,
     busy_s: Callable[[], float],
 ) -> Starlette:
     """Make the HTTP application of a side process: metrics and health.
@@ -113,7 +113,7 @@
         The process by address and start.
     core : SideCore
         Whose values are read at each scrape.
-    counts : TransportCounts
+    counts : TransportCounters
         What its connections to other processes have carried.
     busy_s : callable
         Returns the seconds that the core has taken since the start.
@@ -124,10 +124,12 @@
             {
                 "member": member,
                 "slots": core.slots.count(),
-                "carried": len(core.slots.carried()),
+                "carried": len(core.slots.open_slots()),
                 "active": core.programs.active,
                 "revisions": core.docs.revisions(),
-                "holds": {name: gate.holds() for name, gate in core.gates.items()},
+                "holds": {
+                    name: gate.leased_programs() for name, gate in core.gates.items()
+                },
                 "draining": core.peers.draining,
             }
         )
@@ -136,6 +138,6 @@
     return Starlette(routes=[metrics_route(collector), Route("/healthz", health)])
 
 
-def entry_metrics_route(core: EntryCore, counts: TransportCounts) -> Route:
+def entry_metrics_route(core: EntryCore, counts: TransportCounters) -> Route:
     """Route that answers a scrape of an entry."""
     return metrics_route(_EntryCollector(core, counts))
--- a/wisteriastair/nodemetrics.py
+++ b/wisteriastair/nodemetrics.py
@@ -16,7 +16,7 @@
 )
 
 from .core.routes import CallerLimits
-from .http1.caller import CallerChannel, Handler
+from .http1.caller import CallerConnection, Handler
 from .http1.messages import BadRequest, Request
 
 # The port is ours to choose; deploy/system.toml names it too.
@@ -28,7 +28,7 @@
 LEDGER_BUCKETS: Final = (0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.3, 1.0)
 
 # Customers that are counted by name.
-MOST_CUSTOMERS: Final = 200
+MAX_CUSTOMERS: Final = 200
 OTHER_CUSTOMERS: Final = "(others)"
 
 log = logging.getLogger(__name__)
@@ -104,7 +104,7 @@
         Thousands of customers would make a scrape of megabytes, so those that come
         after the first ones are counted together.
         """
-        if len(self._named) < MOST_CUSTOMERS:
+        if len(self._named) < MAX_CUSTOMERS:
             self._named.add(customer)
         name = customer if customer in self._named else OTHER_CUSTOMERS
         self.customers.labels(name, outcome).inc()
@@ -146,7 +146,7 @@
     def __init__(self, registry: CollectorRegistry) -> None:
         self._registry = registry
 
-    def closing(self) -> bool:
+    def is_closing(self) -> bool:
         """Keep channels open."""
         return False
 
@@ -154,28 +154,30 @@
         """Limits of its own."""
         return CallerLimits()
 
-    def refuse(self, bad: BadRequest, channel: CallerChannel) -> None:
+    def refuse(self, bad: BadRequest, caller_conn: CallerConnection) -> None:
         """Answer a request that could not be taken."""
-        channel.respond(bad.status, [], bad.reason.encode())
+        caller_conn.respond(bad.status, [], bad.reason.encode())
 
-    async def handle(self, req: Request, channel: CallerChannel) -> None:
+    async def handle(self, req: Request, caller_conn: CallerConnection) -> None:
         """Answer a scrape."""
         if req.path != METRICS_PATH:
-            channel.respond(404, [], b"")
+            caller_conn.respond(404, [], b"")
             return
         kind = (b"Content-Type", b"text/plain; version=0.0.4")
-        channel.respond(200, [kind], generate_latest(self._registry))
+        caller_conn.respond(200, [kind], generate_latest(self._registry))
 
 
 async def serve_metrics(
     address: str, registry: CollectorRegistry, group: TaskGroup
 ) -> None:
     """Listen for scrapes; a port that is taken costs the metrics, not the service."""
-    channels: set[CallerChannel] = set()
+    caller_conns: set[CallerConnection] = set()
     handler = MetricsHandler(registry)
     try:
         await asyncio.get_running_loop().create_server(
-            lambda: CallerChannel(handler, group, channels), address, METRICS_PORT
+            lambda: CallerConnection(handler, group, caller_conns),
+            address,
+            METRICS_PORT,
         )
     except OSError as exc:
         log.warning("no metrics", extra={"reason": str(exc), "port": METRICS_PORT})
--- a/wisteriastair/nodeoptions.py
+++ b/wisteriastair/nodeoptions.py
@@ -35,7 +35,7 @@
         Folder on the disk; empty on a relay.
     memory_bytes : int
         Memory over which the process is killed.
-    tolerated_losses : int
+    max_failures : int
         Instances with a disk that may be lost at once.
     first_start : bool
         True if the whole system starts for the first time.
@@ -66,7 +66,7 @@
     ready: str
     data_dir: str
     memory_bytes: int
-    tolerated_losses: int
+    max_failures: int
     first_start: bool
     grace_s: float
     drain_s: float
--- a/wisteriastair/operators/changes.py
+++ b/wisteriastair/operators/changes.py
@@ -24,9 +24,9 @@
     encode_config,
 )
 from ..core.events import KvConflict, KvUnknown, KvValue, KvWritten
-from ..core.hashing import hash_word
+from ..core.hashing import hash64
 from ..errors import Code, Failure
-from ..platform.kv import KeyValue
+from ..platform.kv import KeyValueStore
 
 TRIES: Final = 12
 RETRY_S: Final = 0.05
@@ -45,13 +45,13 @@
 
 
 async def make_change(
-    key_value: KeyValue, change_id: str, make: MakeChange, expected: int
+    key_value: KeyValueStore, change_id: str, make: MakeChange, expected: int
 ) -> Accepted | Failure:
     """Make one change.
 
     Parameters
     ----------
-    key_value : KeyValue
+    key_value : KeyValueStore
         The platform's service.
     change_id : str
         Unique id, by which the change is recognised when read back.
@@ -92,7 +92,7 @@
 
 
 async def _try_once(
-    key_value: KeyValue,
+    key_value: KeyValueStore,
     read: KvValue,
     change_id: str,
     make: MakeChange,
@@ -122,4 +122,4 @@
     if attempt == 0:
         return 0.0
     delay: float = min(RETRY_MAX_S, RETRY_S * 2**attempt)
-    return delay * (0.5 + hash_word(change_id, str(attempt)) % 1000 / 1000)
+    return delay * (0.5 + hash64(change_id, str(attempt)) % 1000 / 1000)
--- a/wisteriastair/operators/endings.py
+++ b/wisteriastair/operators/endings.py
@@ -12,12 +12,12 @@
 
 import msgspec
 
-from ..relay.streams import RESERVE_S
+from ..relay.streams import RESERVE_TIMEOUT_S
 from .trace import MS_PER_S, REQUEST_LINES, Line
 
 # A reservation that takes longer is slow, in ms: half of the wait after which a relay
 # gives it up.
-SLOW_LEDGER_MS: Final = RESERVE_S / 2 * MS_PER_S
+SLOW_LEDGER_MS: Final = RESERVE_TIMEOUT_S / 2 * MS_PER_S
 # What relays write as a reason, in full or in part.
 NO_CONFIGURATION: Final = "the configuration is not known yet"
 OLD_CONFIGURATION: Final = "no route known, version "
--- a/wisteriastair/operators/losscount.py
+++ b/wisteriastair/operators/losscount.py
@@ -18,7 +18,7 @@
 CUT_LINE: Final = "stopped before all was done"
 START_LINE: Final = "relay started"
 # The year 9999 in seconds since 1970: no clock shows more, nor can it be printed.
-MOST_TIME_S: Final = 253_402_300_799.0
+MAX_TIME_S: Final = 253_402_300_799.0
 DAMAGED: Final = "a request's line with fields missing or wrong, or no date"
 
 Key = TypeVar("Key")
@@ -118,7 +118,7 @@
 
     def _add_request(self, line: Line) -> None:
         request = decode_request(line)
-        if request is None or not 0 <= line.at <= MOST_TIME_S:
+        if request is None or not 0 <= line.at <= MAX_TIME_S:
             self.no_lines[DAMAGED] += 1
             return
         self.requests += 1
--- a/wisteriastair/operators/losses.py
+++ b/wisteriastair/operators/losses.py
@@ -21,7 +21,7 @@
 EXIT_WRONG_USE: Final = 2
 STANDARD_INPUT: Final = 0
 # Logs carry whole ms, so that shorter steps of the table by time mean nothing.
-LEAST_STEP_S: Final = 0.001
+MIN_STEP_S: Final = 0.001
 # Seconds between two words on how far the reading is.
 PROGRESS_S: Final = 5.0
 # Lines between two looks at the clock, some 10 ms of reading.
@@ -80,8 +80,8 @@
     aims = parse_aims(aim)
     if isinstance(aims, BadSetting):
         return _complain(str(aims), EXIT_WRONG_USE)
-    if not LEAST_STEP_S <= every < math.inf:
-        allowed = f"{LEAST_STEP_S} seconds or more"
+    if not MIN_STEP_S <= every < math.inf:
+        allowed = f"{MIN_STEP_S} seconds or more"
         return _complain(str(BadSetting("every", str(every), allowed)), EXIT_WRONG_USE)
     try:
         losses = count_losses(_lines(files), aims, every)
