--- a/tests/relay/harness.py
+++ b/tests/relay/harness.py
@@ -1,6 +1,6 @@
-"""A relay's handler on loopback, before servers that answer as a test says.
+"""Test harness: a relay's handler on loopback, with scripted servers.
 
-No store and no platform: the test sets the configuration and the servers itself.
+There is no store and no platform: the test sets the configuration and the servers.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 from wisteriastair.relay.chains import ChainCache
 from wisteriastair.relay.dispatch import Dispatcher
 from wisteriastair.relay.handler import RelayHandler
-from wisteriastair.relay.pool import Pool
+from wisteriastair.relay.pool import ConnectionPool
 from wisteriastair.relay.quota import QuotaClient
 from wisteriastair.relay.streams import StreamRelay
 
@@ -42,7 +42,7 @@
 
 
 class Exchange:
-    """One request as a scripted server got it, and the channel to answer on."""
+    """One request to a scripted server, and the connection for the response."""
 
     def __init__(
         self,
@@ -69,10 +69,10 @@
         await self.writer.drain()
 
     async def answer(
-        self, body: str, *, status: str = "200 OK", more: str = ""
+        self, body: str, *, status: str = "200 OK", extra_head: str = ""
     ) -> None:
         request_id = self.header("X-Request-Id")
-        head = f"HTTP/1.1 {status}\nX-Request-Id: {request_id}\n{STAMP}\n{more}"
+        head = f"HTTP/1.1 {status}\nX-Request-Id: {request_id}\n{STAMP}\n{extra_head}"
         await self.write_text(f"{head}Content-Length: {len(body)}\n\n")
         self.writer.write(body.encode())
         await self.writer.drain()
@@ -139,7 +139,7 @@
                 self.exchanges.append(exchange)
                 await self.script(exchange)
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
-            # Also at the end of the loop, where a cancelled reader would be reported.
+            # Cancellation included: asyncio would report it at the end of the loop.
             writer.close()
 
 
@@ -169,13 +169,13 @@
     route("unsafe", RequestKind.UNSAFE),
     route("turn", RequestKind.STREAM, retains_history=True),
     route("talk", RequestKind.STREAM, resumable=True),
-    # For what takes long on a busy machine, where time is not what is tested.
+    # For tests that take long on a busy machine and do not test the time limit.
     route("long", RequestKind.STREAM, retains_history=True, timeout_s=9.0),
 )
 
 
 class RelayHarness:
-    """The handler under test and what is around it."""
+    """The handler under test, its port, servers and keepers."""
 
     def __init__(self, port: int, handler: RelayHandler, fleet: Fleet) -> None:
         self.port = port
@@ -188,15 +188,17 @@
         reader, writer = await asyncio.open_connection(HOST, self.port)
         return Caller(reader, writer)
 
-    async def ask(self, name: str, request_id: str = "q1", **more: str) -> Reply:
-        """Send one request on a channel of its own."""
+    async def request(
+        self, name: str, request_id: str = "q1", **extra_headers: str
+    ) -> Reply:
+        """Send one request on a new connection and read the reply."""
         caller = await self.open()
-        await caller.send(name, request_id, **more)
+        await caller.send(name, request_id, **extra_headers)
         return await caller.read()
 
 
 class Reply:
-    """An answer as a caller read it; `whole` is False if it broke off."""
+    """A response as a caller received it; `whole` is False if it was truncated."""
 
     def __init__(self, status: int, head: str, body: bytes, whole: bool) -> None:
         self.status = status
@@ -206,7 +208,7 @@
 
 
 class Caller:
-    """A caller's end of a channel."""
+    """The caller's side of a connection."""
 
     def __init__(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -215,11 +217,13 @@
         self.writer = writer
 
     async def send(
-        self, name: str, request_id: str, body: str = "", **more: str
+        self, name: str, request_id: str, body: str = "", **extra_headers: str
     ) -> None:
         method = "GET" if name == "safe" else "POST"
         headers = {"X-Request-Id": request_id, "X-Deadline-Ms": "2000"}
-        headers |= {key.replace("_", "-"): value for key, value in more.items()}
+        headers |= {
+            key.replace("_", "-"): value for key, value in extra_headers.items()
+        }
         lines = [f"{method} /{name}/x HTTP/1.1", "Host: h"]
         lines += [f"{key}: {value}" for key, value in headers.items()]
         if method == "POST":
@@ -257,19 +261,19 @@
 
 
 @asynccontextmanager
-async def stand(*servers: ScriptedServer) -> AsyncIterator[RelayHarness]:
-    """Run a handler before some servers."""
+async def run_harness(*servers: ScriptedServer) -> AsyncIterator[RelayHarness]:
+    """Run a handler with some servers."""
     loop = asyncio.get_running_loop()
     fleet = Fleet()
     for server in servers:
         await server.start()
         fleet.put(Server(server.id, "svc", server.address, "d", 8, False, 0.0))
-    pool = Pool(lambda server_id: None)
+    pool = ConnectionPool(lambda server_id: None)
     dispatcher = Dispatcher(fleet, pool, "d")
     keepers = Keepers(3)
     streams = StreamRelay(dispatcher, keepers.client, ChainCache(1_000_000))
     quota = QuotaClient(
-        QUOTA_BOUNDS, lambda: keepers.view, lambda: keepers.client.reachable
+        QUOTA_BOUNDS, lambda: keepers.view, lambda: keepers.client.is_reachable
     )
     keepers.quota = quota
     quota.start(cast(Transport[LedgerMessage], keepers))
@@ -278,13 +282,13 @@
     handler.table = RouteTable(1, ROUTES, services, CallerLimits())
     async with anyio.create_task_group() as group:
         keepers.client.start(cast(Transport[LedgerMessage], keepers), group)
-        under_test = RelayHarness(0, handler, fleet)
-        under_test.keepers = keepers
+        harness = RelayHarness(0, handler, fleet)
+        harness.keepers = keepers
         listener = await loop.create_server(
-            lambda: CallerConnection(handler, group, under_test.caller_conns), HOST, 0
+            lambda: CallerConnection(handler, group, harness.caller_conns), HOST, 0
         )
-        under_test.port = listener.sockets[0].getsockname()[1]
-        yield under_test
+        harness.port = listener.sockets[0].getsockname()[1]
+        yield harness
         listener.close()
         for server in servers:
             server.stop()
@@ -292,12 +296,12 @@
 
 
 def run_scenario(
-    servers: list[ScriptedServer], story: Callable[[RelayHarness], Awaitable[None]]
+    servers: list[ScriptedServer], scenario: Callable[[RelayHarness], Awaitable[None]]
 ) -> None:
     async def main() -> None:
-        async with stand(*servers) as under_test:
+        async with run_harness(*servers) as harness:
             with anyio.fail_after(10):
-                await story(under_test)
+                await scenario(harness)
 
     anyio.run(main)
 
--- a/tests/relay/test_pool.py
+++ b/tests/relay/test_pool.py
@@ -1,4 +1,4 @@
-"""Channels to backend servers, kept between requests."""
+"""Reuse of connections to backend servers."""
 
 from __future__ import annotations
 
@@ -7,33 +7,33 @@
 from tests.relay.harness import Exchange, ScriptedServer
 from wisteriastair.core.fleet import Server
 from wisteriastair.http1.server import ServerConnection
-from wisteriastair.relay.pool import Pool
+from wisteriastair.relay.pool import ConnectionPool
 
 
-def test_no_channel_of_an_earlier_start_takes_a_request() -> None:
-    """A server crashes and starts again under its id and address.
+def test_connection_of_an_earlier_incarnation_is_not_reused() -> None:
+    """A server crashes and restarts with the same id and address.
 
-    A channel from before looks idle and open until the reset arrives.  A request sent
-    on it would be lost, and nobody could say whether it has run.
+    An old connection looks idle and open until the reset arrives.  A request sent on it
+    would be lost, and its outcome would be unknown.
     """
 
-    async def silent(exchange: Exchange) -> None:
-        raise AssertionError("nothing is sent")
+    async def unexpected(exchange: Exchange) -> None:
+        raise AssertionError("unexpected request")
 
     async def main() -> None:
-        listener = ScriptedServer("s1", silent)
+        listener = ScriptedServer("s1", unexpected)
         await listener.start()
-        pool = Pool(lambda server_id: None)
+        pool = ConnectionPool(lambda server_id: None)
         before = Server("s1", "svc", listener.address, "d", 8, False, 0.0, born=1)
         after = before._replace(born=2)
-        kept = await pool.acquire(before)
-        assert isinstance(kept, ServerConnection)
-        pool._idle[before.incarnation] = [kept]
-        assert pool.connected() == {before.incarnation}
-        fresh = await pool.acquire(after)
-        assert fresh is not kept
-        pool.sweep([before])
-        assert kept.closed and not pool.connected()
+        old_conn = await pool.acquire(before)
+        assert isinstance(old_conn, ServerConnection)
+        pool._idle[before.incarnation] = [old_conn]
+        assert pool.idle_incarnations() == {before.incarnation}
+        new_conn = await pool.acquire(after)
+        assert new_conn is not old_conn
+        pool.close_unused([before])
+        assert old_conn.closed and not pool.idle_incarnations()
         listener.stop()
 
     anyio.run(main)
