--- a/tests/http1/test_caller.py
+++ b/tests/http1/test_caller.py
@@ -1,4 +1,4 @@
-"""A caller's channel: what comes behind a request, and how a channel ends."""
+"""Connections of callers: data after a request, and how a connection closes."""
 
 from __future__ import annotations
 
@@ -19,16 +19,15 @@
 )
 
 
-def test_requests_behind_the_last_answer_of_a_channel_are_not_run() -> None:
-    """A caller has sent several requests at once when the process is told to stop.
+def test_requests_after_the_last_response_are_not_executed() -> None:
+    """A caller has pipelined several requests when the process starts to stop.
 
-    The first answer says that it is the channel's last one.  A request behind it that
-    went on to a server ran for nobody: its answer could not be written any more, and
-    the channel was reset.
+    The first response announces the close of the connection.  Guards against running a
+    later request: its response could not be sent, and the connection was reset.
     """
     server = ScriptedServer("s1", good)
 
-    async def story(at: Stand) -> None:
+    async def scenario(at: Stand) -> None:
         at.handler.stop = Stop(asyncio.get_running_loop().time(), 8.0)
         caller = await at.open()
         names = ("a", "b", "c")
@@ -39,7 +38,7 @@
         assert await caller.reader.read() == b""
         assert [exchange.header("X-Request-Id") for exchange in server.got] == ["a"]
 
-    play([server], story)
+    play([server], scenario)
 
 
 @pytest.mark.parametrize(
@@ -47,45 +46,46 @@
     [("Connection: close\r\n", PIPELINED.format(id="b", more="")), ("", "?!\r\n\r\n")],
     ids=["ended", "no-request"],
 )
-def test_bytes_behind_a_last_request_end_no_other_callers_channel(
-    first: str, then: str
+def test_data_after_a_last_request_closes_no_other_connection(
+    first: str, later_data: str
 ) -> None:
-    """All callers of a relay lose their channels when one sends bytes behind a request.
+    """All callers lose their connections when one sends data after its request.
 
-    It had ended its channel with that request, or what follows is no request.  The
-    refusal of those bytes was written behind the end of the channel, which failed, and
-    the failure ended the process.
+    That request closes the connection, or the data is not a request.  Guards against
+    writing the rejection after the end of the connection, which raised an exception
+    that ended the process.
     """
 
     async def slow(exchange: Exchange) -> None:
         await anyio.sleep(0.3 if exchange.header("X-Request-Id") == "other" else 0.0)
         await exchange.answer("fine")
 
-    async def story(at: Stand) -> None:
+    async def scenario(at: Stand) -> None:
         other = await at.open()
         await other.send("unsafe", "other")
         caller = await at.open()
-        await caller.raw(PIPELINED.format(id="a", more=first) + then)
+        await caller.raw(PIPELINED.format(id="a", more=first) + later_data)
         reply = await caller.read()
         assert (reply.status, reply.body) == (200, b"fine")
         reply = await other.read()
         assert (reply.status, reply.body) == (200, b"fine")
 
-    play([ScriptedServer("s1", slow)], story)
+    play([ScriptedServer("s1", slow)], scenario)
 
 
-def test_a_request_is_not_broken_off_for_what_follows_it() -> None:
-    """A caller's request is cut off a second after it sent bytes that are no request.
+def test_a_request_is_not_aborted_because_of_later_data() -> None:
+    """A caller's request is aborted a second after the caller sent invalid data.
 
-    They came behind the request, on the same channel, while a server was at work on it.
-    Refused channels are closed after a moment; this one had its answer to come.
+    The data follows the request on the same connection while a server processes the
+    request.  Connections with a rejected request are closed after a short time.  Guards
+    against closing one that still waits for an earlier response.
     """
 
     async def slow(exchange: Exchange) -> None:
         await anyio.sleep(0.4)
         await exchange.answer("fine")
 
-    async def story(at: Stand) -> None:
+    async def scenario(at: Stand) -> None:
         caller = await at.open()
         await caller.raw(PIPELINED.format(id="a", more="") + "?!\r\n\r\n")
         await anyio.sleep(0.2)
@@ -94,27 +94,29 @@
         reply = await caller.read()
         assert (reply.status, reply.body) == (200, b"fine")
 
-    play([ScriptedServer("s1", slow)], story)
+    play([ScriptedServer("s1", slow)], scenario)
 
 
-SMALL_BUFFER = 16 * 1024
-LONG_ANSWER = "y" * 400_000
+SMALL_BUFFER_BYTES = 16 * 1024
+LONG_RESPONSE = "y" * 400_000
 
 
-async def call_slowly(at: Stand, sent: bytes) -> bytes:
-    """Send a request that ends its channel, then more; read late, while it stops.
+async def send_and_read_late(at: Stand, sent_data: bytes) -> bytes:
+    """Send a request that closes the connection, then more data, and read late.
+
+    The relay is stopping meanwhile.
 
     Returns
     -------
     bytes
-        What the caller read until its channel ended.
+        Data that the caller received until the connection closed.
     """
     loop = asyncio.get_running_loop()
     with socket.socket() as caller:
-        caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
+        caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
         caller.setblocking(False)
         await loop.sock_connect(caller, ("127.0.0.1", at.port))
-        await loop.sock_sendall(caller, sent)
+        await loop.sock_sendall(caller, sent_data)
         answer = b""
         for _ in range(12):
             await anyio.sleep(0.05)
@@ -138,22 +140,24 @@
     ],
     ids=["answered", "body", "headers", "no-request"],
 )
-def test_a_caller_that_still_sends_gets_its_last_answer_whole(sent: bytes) -> None:
-    """A caller loses the end of an answer, since its channel is closed beneath it.
+def test_a_caller_that_still_sends_gets_its_complete_last_response(
+    sent_data: bytes,
+) -> None:
+    """A caller loses the end of a response because the relay closes the connection.
 
-    The relay is stopping, and closes channels on which nothing is under way.  This one
-    has had its last answer, which the caller reads late, and the caller still sends:
-    closed with bytes unread, the channel is reset, and what was on its way is lost.
+    The relay is stopping and closes idle connections.  The caller reads its last
+    response late and still sends.  Closing with unread data resets the connection and
+    loses the rest of the response.
     """
 
-    async def long(exchange: Exchange) -> None:
-        await exchange.answer(LONG_ANSWER)
+    async def send_long_response(exchange: Exchange) -> None:
+        await exchange.answer(LONG_RESPONSE)
 
-    async def story(at: Stand) -> None:
+    async def scenario(at: Stand) -> None:
         at.handler.stop = Stop(asyncio.get_running_loop().time(), 8.0)
-        answer = await call_slowly(at, sent)
+        answer = await send_and_read_late(at, sent_data)
         head, _, body = answer.partition(b"\r\n\r\n")
         length = int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0])
         assert len(body) == length
 
-    play([ScriptedServer("s1", long)], story)
+    play([ScriptedServer("s1", send_long_response)], scenario)
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -1,4 +1,4 @@
-"""A channel to a server: how bodies are passed on, and what may follow an answer."""
+"""Connections to servers: forwarding of bodies, and data after a response."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 REQUEST = b"GET / HTTP/1.1\r\n\r\n"
 
 
-class Wire(asyncio.Transport):
-    """A transport in memory that notes what is asked of it."""
+class InMemoryTransport(asyncio.Transport):
+    """A transport in memory that records the calls."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -32,94 +32,104 @@
         return self.unsent
 
 
-def play(story: Callable[[ServerChannel, Wire], Awaitable[None]]) -> list[str]:
-    """Play a story on a channel; return what was reported as belonging to nobody."""
-    strays: list[str] = []
+def run_scenario(
+    scenario: Callable[[ServerChannel, InMemoryTransport], Awaitable[None]],
+) -> list[str]:
+    """Run a scenario on a connection; return the reports of unexpected data."""
+    reports: list[str] = []
 
     async def main() -> None:
-        wire = Wire()
-        channel = ServerChannel(lambda: strays.append("stray"))
-        channel.connection_made(wire)
+        transport = InMemoryTransport()
+        server_conn = ServerChannel(lambda: reports.append("unexpected data"))
+        server_conn.connection_made(transport)
         with anyio.fail_after(5):
-            await story(channel, wire)
+            await scenario(server_conn, transport)
 
     anyio.run(main)
-    return strays
+    return reports
 
 
-def ask(channel: ServerChannel) -> Exchange:
+def start_exchange(server_conn: ServerChannel) -> Exchange:
     exchange = Exchange("q", "GET")
-    channel.start(exchange, REQUEST)
+    server_conn.start(exchange, REQUEST)
     return exchange
 
 
-def test_parts_are_passed_on_as_they_come_until_no_more_are_wanted() -> None:
-    """The caller stops reading in the middle of a stream and goes on later.
+def test_body_data_is_forwarded_until_the_sink_pauses() -> None:
+    """The caller stops reading in the middle of a stream and continues later.
 
-    Parts that come meanwhile are kept; lost ones would leave a gap in the stream, and
-    parts passed on twice would repeat events.
+    Data that arrives meanwhile is buffered.  Losing it would leave a gap in the stream,
+    and forwarding it twice would repeat events.
     """
     got: list[bytes] = []
 
-    async def story(channel: ServerChannel, wire: Wire) -> None:
-        exchange = ask(channel)
-        channel.data_received(HEAD + b"Content-Length: 5\r\n\r\na")
+    async def scenario(
+        server_conn: ServerChannel, transport: InMemoryTransport
+    ) -> None:
+        exchange = start_exchange(server_conn)
+        server_conn.data_received(HEAD + b"Content-Length: 5\r\n\r\na")
 
-        def take(data: bytes) -> bool:
+        def sink(data: bytes) -> bool:
             got.append(data)
             return data != b"b"
 
-        exchange.pass_to(take)
-        channel.data_received(b"b")
-        channel.data_received(b"c")
-        channel.data_received(b"d")
+        exchange.pass_to(sink)
+        server_conn.data_received(b"b")
+        server_conn.data_received(b"c")
+        server_conn.data_received(b"d")
         assert got == [b"a", b"b"]
-        exchange.pass_to(take)
+        exchange.pass_to(sink)
         assert got == [b"a", b"b", b"cd"]
-        channel.data_received(b"e")
+        server_conn.data_received(b"e")
         await exchange.wait()
         assert exchange.end is not None and exchange.end.kind is EndKind.WHOLE
 
-    assert play(story) == []
+    assert run_scenario(scenario) == []
     assert b"".join(got) == b"abcde"
 
 
-def test_bytes_behind_an_answer_end_the_channel() -> None:
-    """A server sends more than its answer; the next request must not get it."""
+def test_data_after_a_response_closes_the_connection() -> None:
+    """Data after a response must not be taken for the response to the next request."""
 
-    async def story(channel: ServerChannel, wire: Wire) -> None:
-        exchange = ask(channel)
-        channel.data_received(HEAD + b"Content-Length: 1\r\n\r\na")
+    async def scenario(
+        server_conn: ServerChannel, transport: InMemoryTransport
+    ) -> None:
+        exchange = start_exchange(server_conn)
+        server_conn.data_received(HEAD + b"Content-Length: 1\r\n\r\na")
         assert exchange.end is not None and exchange.end.kind is EndKind.WHOLE
-        channel.data_received(b"more")
-        assert wire.aborted
-        assert not channel.release(0.0)
+        server_conn.data_received(b"more")
+        assert transport.aborted
+        assert not server_conn.release(0.0)
 
-    assert play(story) == ["stray"]
+    assert run_scenario(scenario) == ["unexpected data"]
 
 
-def test_a_channel_with_a_request_half_written_is_not_used_again() -> None:
-    """A server answers before it has read a long body.
+def test_a_connection_with_a_partly_written_request_is_not_reused() -> None:
+    """A server responds before it has read a long request body.
 
-    The rest of the body is still to be written; the next request on the channel would
-    be read as a part of it.
+    The rest of the body is still to be written.  The server would read the next request
+    on the connection as a part of it.
     """
 
-    async def story(channel: ServerChannel, wire: Wire) -> None:
-        ask(channel)
-        channel.data_received(HEAD + b"Content-Length: 0\r\n\r\n")
-        wire.unsent = 1_000
-        assert not channel.release(0.0)
-        assert wire.aborted
-
-    play(story)
-
-
-def test_an_answer_without_a_length_that_is_reset_is_not_whole() -> None:
-    async def story(channel: ServerChannel, wire: Wire) -> None:
-        exchange = ask(channel)
-        channel.data_received(HEAD + b"\r\npart")
-        channel.connection_lost(ConnectionResetError())
+    async def scenario(
+        server_conn: ServerChannel, transport: InMemoryTransport
+    ) -> None:
+        start_exchange(server_conn)
+        server_conn.data_received(HEAD + b"Content-Length: 0\r\n\r\n")
+        transport.unsent = 1_000
+        assert not server_conn.release(0.0)
+        assert transport.aborted
+
+    run_scenario(scenario)
+
+
+def test_a_response_without_length_is_incomplete_after_a_reset() -> None:
+    async def scenario(
+        server_conn: ServerChannel, transport: InMemoryTransport
+    ) -> None:
+        exchange = start_exchange(server_conn)
+        server_conn.data_received(HEAD + b"\r\npart")
+        server_conn.connection_lost(ConnectionResetError())
         assert exchange.end is not None and exchange.end.kind is EndKind.BROKEN
 
-    play(story)
+    run_scenario(scenario)
--- a/tests/peers/test_frames.py
+++ b/tests/peers/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames over real sockets: cut as sent, connections made again, nothing stale."""
+"""Frames over real sockets: framing, reconnecting, and dropping outdated messages."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 LIMIT_S = 10.0
 
 
-def play(story: Callable[[], Awaitable[None]]) -> None:
+def run_scenario(scenario: Callable[[], Awaitable[None]]) -> None:
     async def main() -> None:
         with anyio.fail_after(LIMIT_S):
-            await story()
+            await scenario()
 
     anyio.run(main)
 
@@ -42,12 +42,12 @@
     return server, readers
 
 
-def test_frames_are_cut_as_they_were_sent() -> None:
+def test_frames_arrive_as_they_were_sent() -> None:
     """Frames arrive in pieces, several at once, or empty."""
     sent = [b"one", b"", b"x" * 300_000, b"last"]
     data = b"".join(LENGTH_PREFIX.pack(len(frame)) + frame for frame in sent)
 
-    async def story() -> None:
+    async def scenario() -> None:
         frames: list[bytes] = []
         address = free_address()
         server, _ = await listen(address, frames)
@@ -61,16 +61,16 @@
         writer.close()
         server.close()
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_a_length_that_cannot_be_ends_the_connection() -> None:
-    """Something that does not speak frames connects to the port.
+def test_an_excessive_length_closes_the_connection() -> None:
+    """A client that does not send frames connects to the port.
 
-    Its first bytes, read as a length, would make the process wait for gigabytes.
+    Its first bytes, decoded as a length, would make the process wait for gigabytes.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         frames: list[bytes] = []
         address = free_address()
         server, _ = await listen(address, frames)
@@ -83,44 +83,44 @@
         writer.close()
         server.close()
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_an_outlet_connects_again_after_its_peer_has_restarted() -> None:
-    """The peer dies and another process listens at its address a moment later."""
+def test_a_sender_reconnects_after_its_peer_has_restarted() -> None:
+    """The peer ends, and shortly afterwards another process listens at its address."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         address = free_address()
         before: list[bytes] = []
         after: list[bytes] = []
-        outlet = FrameSender(address, lambda: None)
-        assert not outlet.send(b"nobody listens yet")
+        frame_sender = FrameSender(address, lambda: None)
+        assert not frame_sender.send(b"nobody listens yet")
         server, readers = await listen(address, before)
-        await wait_for(lambda: outlet.send(b"first"))
+        await wait_for(lambda: frame_sender.send(b"first"))
         await wait_for(lambda: before == [b"first"])
         server.close()
         for reader in list(readers):
             reader.close()
         await anyio.sleep(0.2)
-        assert not outlet.send(b"nobody listens any more")
+        assert not frame_sender.send(b"nobody listens any more")
         server, _ = await listen(address, after)
-        await wait_for(lambda: outlet.send(b"second"))
+        await wait_for(lambda: frame_sender.send(b"second"))
         await wait_for(lambda: after == [b"second"])
-        outlet.close()
-        assert not outlet.send(b"closed")
+        frame_sender.close()
+        assert not frame_sender.send(b"closed")
         server.close()
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_what_waited_long_for_a_connection_is_not_sent() -> None:
-    """A peer is away for seconds and comes back.
+def test_outdated_messages_are_not_sent() -> None:
+    """A peer is unreachable for seconds and comes back.
 
-    What was meant for it then has been repeated or given up since.  Sent now, it would
-    fill the link of the peer, and the messages of the moment would come late.
+    Senders have repeated the queued messages or given up meanwhile.  Sending them would
+    delay the current messages.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         inbox = Inbox()
         address = free_address()
         sender = transport(f"{free_address()}#1", Inbox())
@@ -131,12 +131,12 @@
             receiver = transport(f"{address}#1", inbox)
             group.start_soon(receiver.run)
 
-            def send_until_heard() -> bool:
+            def send_and_check() -> bool:
                 sender.send(address, DocPull({"new": 1}))
                 return bool(inbox.messages)
 
-            await wait_for(send_until_heard)
+            await wait_for(send_and_check)
             group.cancel_scope.cancel()
         assert DocPull({"old": 1}) not in inbox.messages
 
-    play(story)
+    run_scenario(scenario)
--- a/tests/peers/test_transport.py
+++ b/tests/peers/test_transport.py
@@ -1,4 +1,4 @@
-"""The transport over real sockets: delivery, silent connections, old incarnations."""
+"""The transport over real sockets: delivery, half-open connections, incarnations."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 
 
 class Forwarder:
-    """Forwards connections, and can forget the open ones while new ones work."""
+    """Forwards connections, and can make the open ones half-open."""
 
     def __init__(self, target: str) -> None:
         self.address = free_address()
         self.accepted = 0
         self._target = target
-        self._forgotten = 0
+        self._last_half_open = 0
 
-    def cut(self) -> None:
-        """Swallow everything, on new connections too."""
-        self._forgotten = 1_000_000
+    def drop_all(self) -> None:
+        """Drop all data, on new connections too."""
+        self._last_half_open = 1_000_000
 
-    def forget_open_connections(self) -> None:
-        self._forgotten = self.accepted
+    def make_half_open(self) -> None:
+        self._last_half_open = self.accepted
 
     async def run(self) -> None:
         host, port = self.address.split(":")
@@ -52,19 +52,19 @@
     async def _pump(self, source: SocketStream, to: SocketStream, number: int) -> None:
         try:
             async for data in source:
-                if number > self._forgotten:
+                if number > self._last_half_open:
                     await to.send(data)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
             return
 
 
 class Inbox:
-    """Collects what arrives."""
+    """Collects received messages."""
 
     def __init__(self) -> None:
         self.messages: list[Message] = []
 
-    def take(self, sender: str, message: Message) -> None:
+    def on_message(self, sender: str, message: Message) -> None:
         self.messages.append(message)
 
 
@@ -72,7 +72,7 @@
     member: str, inbox: Inbox, *, deployment: str = "ours", listen: str = ""
 ) -> Transport[Message]:
     return Transport(
-        member, inbox.take, deployment=deployment, codec=CORE_CODEC, listen=listen
+        member, inbox.on_message, deployment=deployment, codec=CORE_CODEC, listen=listen
     )
 
 
@@ -82,7 +82,7 @@
             await anyio.sleep(0.02)
 
 
-async def send_through_a_silent_connection() -> None:
+async def send_over_half_open_connection() -> None:
     inbox = Inbox()
     listen = free_address()
     forwarder = Forwarder(listen)
@@ -94,36 +94,36 @@
         group.start_soon(sender.run)
         sender.send(forwarder.address, DocPull({"first": 1}))
         await wait_for(lambda: bool(inbox.messages))
-        forwarder.forget_open_connections()
+        forwarder.make_half_open()
 
-        def repeat_until_heard() -> bool:
+        def send_and_check() -> bool:
             sender.send(forwarder.address, DocPull({"second": 2}))
             return DocPull({"second": 2}) in inbox.messages
 
-        await wait_for(repeat_until_heard)
+        await wait_for(send_and_check)
         assert sender.counts.redials >= 1
         group.cancel_scope.cancel()
 
 
-def test_silent_connection_is_replaced() -> None:
-    """A sender gets through although its connection has gone silent for good.
+def test_half_open_connection_is_replaced() -> None:
+    """A sender reaches its peer although its connection has become half-open.
 
-    Something between the two ends forgets the open connection: writes succeed and
-    nothing arrives.  Frames are not echoed, the socket is replaced, and what the state
-    machines repeat arrives over the new connection.
+    A middlebox drops the state of the open connection: writes succeed and nothing
+    arrives.  Frames are not acknowledged, the connection is replaced, and messages that
+    are sent again arrive over the new one.
     """
-    anyio.run(send_through_a_silent_connection)
+    anyio.run(send_over_half_open_connection)
 
 
-async def send_after_a_cut() -> float:
-    """Return the seconds from the end of a cut until a message gets through."""
+async def measure_delay_after_partition() -> float:
+    """Return the seconds from the end of a partition until a message arrives."""
     inbox = Inbox()
     listen = free_address()
     forwarder = Forwarder(listen)
     receiver = transport(f"{forwarder.address}#1", inbox, listen=listen)
     sender = Transport(
         f"{free_address()}#1",
-        Inbox().take,
+        Inbox().on_message,
         deployment="ours",
         codec=CORE_CODEC,
         patience=LEDGER_PATIENCE,
@@ -134,46 +134,46 @@
         group.start_soon(sender.run)
         sender.send(forwarder.address, DocPull({"first": 1}))
         await wait_for(lambda: bool(inbox.messages))
-        forwarder.cut()
+        forwarder.drop_all()
         for number in range(40):
             sender.send(forwarder.address, DocPull({f"lost {number}": 1}))
             await anyio.sleep(0.1)
-        forwarder.forget_open_connections()
-        healed = anyio.current_time()
+        forwarder.make_half_open()
+        healed_at = anyio.current_time()
 
-        def repeat_until_heard() -> bool:
+        def send_and_check() -> bool:
             sender.send(forwarder.address, DocPull({"second": 2}))
             return DocPull({"second": 2}) in inbox.messages
 
-        await wait_for(repeat_until_heard)
-        took_s = anyio.current_time() - healed
+        await wait_for(send_and_check)
+        took_s = anyio.current_time() - healed_at
         group.cancel_scope.cancel()
     return took_s
 
 
-def test_the_way_is_found_again_soon_after_a_long_cut() -> None:
-    """A relay is cut off from the keepers for four seconds.
+def test_messages_arrive_soon_after_a_long_partition() -> None:
+    """A relay is partitioned from the keepers for four seconds.
 
-    Each replaced connection is silent too.  If the wait doubled with each, callers
-    would be refused for seconds after the cut has healed; new connections are tried at
-    a steady pace instead.
+    Each new connection is unresponsive too.  If the timeout doubled with each, callers
+    would be rejected for seconds after the end of the partition.  The timeout is
+    constant instead.
     """
-    assert anyio.run(send_after_a_cut) < 2.0
+    assert anyio.run(measure_delay_after_partition) < 2.0
 
 
-async def answer_over_a_dead_connection() -> float:
-    """Return the seconds until a peer that asks all the time is answered again."""
-    answers = Inbox()
-    asker_listens = free_address()
-    forwarder = Forwarder(asker_listens)
-    asker = transport(f"{forwarder.address}#1", answers, listen=asker_listens)
-    answerer_address = free_address()
+async def measure_reply_delay() -> float:
+    """Return the seconds until a peer that keeps sending gets a reply again."""
+    replies = Inbox()
+    requester_listen = free_address()
+    forwarder = Forwarder(requester_listen)
+    requester = transport(f"{forwarder.address}#1", replies, listen=requester_listen)
+    replier_address = free_address()
 
     def reply(sender: str, message: Message) -> None:
-        answerer.send(sender, message)
+        replier.send(sender, message)
 
-    answerer = Transport(
-        f"{answerer_address}#1",
+    replier = Transport(
+        f"{replier_address}#1",
         reply,
         deployment="ours",
         codec=CORE_CODEC,
@@ -181,34 +181,35 @@
     )
     async with anyio.create_task_group() as group:
         group.start_soon(forwarder.run)
-        group.start_soon(asker.run)
-        group.start_soon(answerer.run)
-        asker.send(answerer_address, DocPull({"before": 1}))
-        await wait_for(lambda: bool(answers.messages))
-        forwarder.forget_open_connections()
-        began = anyio.current_time()
-
-        def ask_until_answered() -> bool:
-            asker.send(answerer_address, DocPull({"after": 2}))
-            return DocPull({"after": 2}) in answers.messages
-
-        await wait_for(ask_until_answered)
-        took_s = anyio.current_time() - began
+        group.start_soon(requester.run)
+        group.start_soon(replier.run)
+        requester.send(replier_address, DocPull({"before": 1}))
+        await wait_for(lambda: bool(replies.messages))
+        forwarder.make_half_open()
+        started_at = anyio.current_time()
+
+        def send_and_check() -> bool:
+            requester.send(replier_address, DocPull({"after": 2}))
+            return DocPull({"after": 2}) in replies.messages
+
+        await wait_for(send_and_check)
+        took_s = anyio.current_time() - started_at
         group.cancel_scope.cancel()
     return took_s
 
 
-def test_a_dead_connection_is_replaced_although_the_peer_is_heard() -> None:
-    """A relay that was cut off reaches a keeper again and asks it all the time.
+def test_half_open_connection_is_replaced_while_frames_are_received() -> None:
+    """A relay reaches a keeper again after a partition and keeps sending requests.
 
-    The keeper's own connection to the relay is dead: answers are lost, and callers
-    are refused.  Each question repeats the last echo from before the cut; taken for a
-    sign of life of the connection, it kept the keeper from replacing it.
+    The keeper's own connection to the relay is half-open: responses are lost, and
+    callers are rejected.  Each request repeats the last acknowledgement from before the
+    partition.  Guards against taking it for a new one, which kept the keeper from
+    replacing the connection.
     """
-    assert anyio.run(answer_over_a_dead_connection) < 1.5
+    assert anyio.run(measure_reply_delay) < 1.5
 
 
-async def send_to_an_earlier_incarnation() -> None:
+async def send_to_earlier_incarnation() -> None:
     inbox = Inbox()
     address = free_address()
     receiver = transport(f"{address}#2", inbox)
@@ -224,20 +225,20 @@
 
 
 def test_message_for_an_earlier_incarnation_is_dropped() -> None:
-    """What was meant for a process that has died does not reach its successor."""
-    anyio.run(send_to_an_earlier_incarnation)
+    """A message for a process that has ended does not reach its successor."""
+    anyio.run(send_to_earlier_incarnation)
 
 
-async def send_from_another_deployment() -> None:
+async def send_from_other_deployment() -> None:
     inbox = Inbox()
     address = free_address()
     receiver = transport(f"{address}#2", inbox)
-    foreign = transport(f"{free_address()}#1", Inbox(), deployment="theirs")
+    other = transport(f"{free_address()}#1", Inbox(), deployment="theirs")
     sender = transport(f"{free_address()}#1", Inbox())
     async with anyio.create_task_group() as group:
-        for each in (receiver, foreign, sender):
+        for each in (receiver, other, sender):
             group.start_soon(each.run)
-        foreign.send(address, DocPull({"theirs": 1}))
+        other.send(address, DocPull({"theirs": 1}))
         await wait_for(lambda: receiver.counts.foreign > 0)
         sender.send(address, DocPull({"ours": 2}))
         await wait_for(lambda: bool(inbox.messages))
@@ -246,21 +247,21 @@
 
 
 def test_message_of_another_deployment_is_dropped() -> None:
-    """A process of another deployment still sends to an address that is ours now.
+    """A process of another deployment sends to an address that is reused here.
 
-    Its documents may carry higher revisions than ours; taking them would replace our
-    configuration and slot table.  Its frames name another deployment and are dropped.
+    Its documents may have higher revisions and would replace the configuration and the
+    slot table.  Its frames name another deployment and are dropped.
     """
-    anyio.run(send_from_another_deployment)
+    anyio.run(send_from_other_deployment)
 
 
-async def send_with_something_unknown() -> list[str]:
-    """Return what arrives of a frame with a message that the receiver cannot read."""
-    arrived: list[str] = []
+async def send_with_unreadable_message() -> list[str]:
+    """Return the messages received from a frame with one unreadable message."""
+    received: list[str] = []
     address = free_address()
     receiver: Transport[str] = Transport(
         f"{address}#1",
-        lambda sender, message: arrived.append(message),
+        lambda sender, message: received.append(message),
         deployment="ours",
         codec=Codec(str.encode, lambda data: msgspec.json.decode(data, type=str)),
     )
@@ -275,19 +276,19 @@
         group.start_soon(receiver.run)
         group.start_soon(sender.run)
         with anyio.fail_after(LIMIT_S):
-            while len(arrived) < 2:
+            while len(received) < 2:
                 for message in ('"first"', "not known here", '"last"'):
                     sender.send(address, message)
                 await anyio.sleep(0.1)
         assert receiver.counts.malformed > 0
         group.cancel_scope.cancel()
-    return arrived
+    return received
 
 
-def test_a_message_of_a_newer_version_takes_no_other_away() -> None:
-    """Turns are refused while two versions run side by side.
+def test_an_unreadable_message_does_not_affect_the_others_of_its_frame() -> None:
+    """Turns are rejected while two versions run side by side.
 
-    A keeper of the newer version tells a relay something that the relay cannot read.
-    It travels in one frame with answers to reservations, which went with it.
+    A keeper of the newer version sends a message that a relay cannot decode, in one
+    frame with responses to reservations.  Guards against dropping the whole frame.
     """
-    assert anyio.run(send_with_something_unknown)[:2] == ["first", "last"]
+    assert anyio.run(send_with_unreadable_message)[:2] == ["first", "last"]
--- a/tests/platform/fleet_of_mirrors.py
+++ b/tests/platform/fleet_of_mirrors.py
@@ -1,9 +1,9 @@
-"""Relays and keepers that follow a store, in virtual time, with faults drawn by a seed.
+"""Simulation of relays and keepers that mirror a store, in virtual time, with faults.
 
-Each process is the shipped `Mirror` with its subscription; the store and the wires
-between processes are models.  What is judged: no process ever goes back to an older
-state of a key, none misses a change that it claims to know, and each that can reach the
-store for `CONTACT_S` knows every change within `BOUND_S`.
+Each process is the real `Mirror` with its subscription; the store and the network are
+models.  The checks are that no process returns to an older state of a key, that none
+misses a change up to its own revision, and that each process that has reached the store
+for `CONTACT_S` applies every change within `BOUND_S`.
 """
 
 from __future__ import annotations
@@ -30,8 +30,8 @@
     StoreTrouble,
 )
 
-# The least time that a deployment gives for a change to be in force, and after which a
-# process that reaches the store has to keep to it, in seconds.
+# Shortest time that a deployment allows for a change to be in force, and the time for
+# which a process must have reached the store before this applies to it, in seconds.
 BOUND_S: Final = 2.0
 CONTACT_S: Final = 3.0
 LOSSES: Final = 1
@@ -41,29 +41,29 @@
 
 
 class StoreModel:
-    """Keys with one revision counter, and what is wrong with the store."""
+    """Keys with one revision counter, and the current faults of the store."""
 
     def __init__(self) -> None:
         self.revision = 0
         self.items: dict[str, Item] = {}
         self.history: list[Item] = []
-        self.told_at: dict[int, float] = {}
-        self.oldest = 0
+        self.changed_at: dict[int, float] = {}
+        self.oldest_revision = 0
         self.down = False
-        # While it is silent no call is answered, nor later one that came meanwhile.
-        self.silent = False
-        self.silences = 0
-        self.calls = 0
+        # A call made while the store is unresponsive never gets a response.
+        self.is_unresponsive = False
+        self.outage_count = 0
+        self.call_count = 0
         self._changed = anyio.Event()
-        self._cut = anyio.Event()
+        self._watches_cut = anyio.Event()
 
-    def fall_silent(self) -> None:
-        self.silent = True
-        self.silences += 1
+    def become_unresponsive(self) -> None:
+        self.is_unresponsive = True
+        self.outage_count += 1
 
     def cut_watches(self) -> None:
-        self._cut.set()
-        self._cut = anyio.Event()
+        self._watches_cut.set()
+        self._watches_cut = anyio.Event()
 
     def change(self, key: str, value: bytes | None) -> None:
         self.revision += 1
@@ -73,31 +73,31 @@
         else:
             self.items[key] = item
         self.history.append(item)
-        self.told_at[self.revision] = anyio.current_time()
+        self.changed_at[self.revision] = anyio.current_time()
         self._changed.set()
         self._changed = anyio.Event()
 
-    def forget(self) -> None:
-        self.oldest = self.revision
+    def drop_history(self) -> None:
+        self.oldest_revision = self.revision
 
     async def wait(
         self, after: int, wait_s: float
     ) -> Changes | HistoryExpired | StoreTrouble:
-        if after < self.oldest:
+        if after < self.oldest_revision:
             return HistoryExpired()
-        cut = self._cut
+        cut = self._watches_cut
         with anyio.move_on_after(wait_s):
             while self.revision <= after and not cut.is_set():
                 async with anyio.create_task_group() as group:
-                    group.start_soon(_first, self._changed, group)
-                    group.start_soon(_first, cut, group)
+                    group.start_soon(_cancel_on_event, self._changed, group)
+                    group.start_soon(_cancel_on_event, cut, group)
         if cut.is_set():
             return StoreTrouble("connection reset", False)
         items = tuple(i for i in self.history if i.revision > after)
         return Changes(self.revision, items)
 
 
-async def _first(event: anyio.Event, group: TaskGroup) -> None:
+async def _cancel_on_event(event: anyio.Event, group: TaskGroup) -> None:
     await event.wait()
     group.cancel_scope.cancel()
 
@@ -111,20 +111,20 @@
         self.frozen = False
         self.cut_store = False
         self.busy_store = False
-        self.deaf = False
-        self.mute = False
-        self.sound_since = 0.0
-        self.held: list[Callable[[], None]] = []
+        self.drops_received = False
+        self.drops_sent = False
+        self.undisturbed_since = 0.0
+        self.deferred: list[Callable[[], None]] = []
         self.applied: dict[str, Item] = {}
         self._fleet = fleet
-        self._boots = 0
+        self._start_count = 0
         self._scope = anyio.CancelScope()
         self.start()
 
     def start(self) -> None:
-        """Begin with empty memory."""
-        self._boots += 1
-        self.member = f"{self.address}#{self._boots}"
+        """Start the process without state."""
+        self._start_count += 1
+        self.member = f"{self.address}#{self._start_count}"
         self.applied = {}
         self.subscribers = Subscribers()
         self.subscription = make_subscription(
@@ -143,15 +143,15 @@
     def _apply(self, item: Item) -> None:
         known = self.applied.get(item.key)
         assert known is None or item.revision > known.revision, (
-            f"{self.member} goes back: {item} after {known}"
+            f"{self.member} went back to {item} after {known}"
         )
         self.applied[item.key] = item
 
     def knows(self, item: Item) -> bool:
-        """Whether a state of a key, or a newer one, is what this process goes by."""
+        """Whether this process has applied the given state of a key or a newer one."""
         known = self.applied.get(item.key)
-        gone = known is None or known.value is None
-        if item.value is None and gone:
+        is_absent = known is None or known.value is None
+        if item.value is None and is_absent:
             return True
         return known is not None and known.revision >= item.revision
 
@@ -167,12 +167,12 @@
         elif isinstance(message, StoreNews):
             self.mirror.take_news(sender, message)
 
-    def disturbed(self) -> None:
-        """Note a fault that ends the time for which this process was in touch."""
-        self.sound_since = anyio.current_time()
+    def record_disturbance(self) -> None:
+        """Record a fault that interrupts the connection to the store."""
+        self.undisturbed_since = anyio.current_time()
 
     async def run(self) -> None:
-        """Run one process after the other until cancelled; `kill` ends one."""
+        """Run the process until cancelled, and restart it after each `kill`."""
         while True:
             with anyio.CancelScope() as self._scope:
                 async with anyio.create_task_group() as group:
@@ -182,7 +182,7 @@
                 return
             await anyio.sleep(0.3)
             self.start()
-            self.disturbed()
+            self.record_disturbance()
 
     def kill(self) -> None:
         self._scope.cancel()
@@ -194,29 +194,29 @@
                     self._fleet.send(self, to, wish)
             await anyio.sleep(TICK_S)
 
-    def thaw(self) -> None:
+    def unfreeze(self) -> None:
         self.frozen = False
-        held, self.held = self.held, []
-        for action in held:
+        deferred, self.deferred = self.deferred, []
+        for action in deferred:
             action()
 
-    async def awake(self) -> None:
+    async def wait_until_unfrozen(self) -> None:
         while self.frozen:
             await anyio.sleep(0.01)
 
 
 class _Client(Store):
-    """The store as one process reaches it."""
+    """Client of the store model with the faults of one process."""
 
     def __init__(self, model: StoreModel, process: Process) -> None:
-        self.calls = 0
+        self.call_count = 0
         self.times = make_store_times(CONTACT_S)
         self._model = model
         self._process = process
 
-    async def _refused(self, limit_s: float) -> StoreTrouble | None:
-        self._model.calls += 1
-        await self._process.awake()
+    async def _check_faults(self, limit_s: float) -> StoreTrouble | None:
+        self._model.call_count += 1
+        await self._process.wait_until_unfrozen()
         if self._process.cut_store:
             await anyio.sleep(limit_s)
             return StoreTrouble("no answer", False)
@@ -226,36 +226,36 @@
         return None
 
     async def list_all(self, prefix: str) -> Snapshot | StoreTrouble:
-        refused = await self._refused(self.times.call_s)
-        if refused is not None:
-            return refused
-        if self._model.silent:
+        error = await self._check_faults(self.times.call_s)
+        if error is not None:
+            return error
+        if self._model.is_unresponsive:
             await anyio.sleep(self.times.call_s)
             return StoreTrouble("no answer", False)
         snapshot = Snapshot(self._model.revision, tuple(self._model.items.values()))
         await anyio.sleep(CALL_S)
-        await self._process.awake()
+        await self._process.wait_until_unfrozen()
         return snapshot
 
     async def watch(
         self, prefix: str, after: int, wait_s: float
     ) -> Changes | HistoryExpired | StoreTrouble:
-        refused = await self._refused(wait_s + self.times.slack_s)
-        if refused is not None:
-            return refused
-        answer: Changes | HistoryExpired | StoreTrouble | None = None
-        silences = self._model.silences
+        error = await self._check_faults(wait_s + self.times.slack_s)
+        if error is not None:
+            return error
+        response: Changes | HistoryExpired | StoreTrouble | None = None
+        outage_count = self._model.outage_count
         with anyio.move_on_after(wait_s + self.times.slack_s):
-            found = await self._model.wait(after, wait_s)
-            if self._model.silent or self._model.silences > silences:
+            changes = await self._model.wait(after, wait_s)
+            if self._model.is_unresponsive or self._model.outage_count > outage_count:
                 await anyio.sleep_forever()
-            answer = found
+            response = changes
             await anyio.sleep(CALL_S)
             while self._process.cut_store:
                 await anyio.sleep(0.05)
-        # An answer waits in a frozen process and is found when it wakes.
-        await self._process.awake()
-        return StoreTrouble("no answer", False) if answer is None else answer
+        # A frozen process reads a pending response when it resumes.
+        await self._process.wait_until_unfrozen()
+        return StoreTrouble("no answer", False) if response is None else response
 
 
 def _start(group: TaskGroup, action: Callable[[], Coroutine[Any, Any, None]]) -> None:
@@ -263,12 +263,12 @@
 
 
 class Fleet:
-    """All processes, the store, and the wires."""
+    """All processes, the store, and the network."""
 
     def __init__(self, keepers: int, relays: int, seed: int) -> None:
-        self.draw = random.Random(seed)
+        self.rng = random.Random(seed)
         self.store = StoreModel()
-        self.lossy = False
+        self.loses_messages = False
         members = tuple(
             Member(f"k{n}", f"disk{n}", f"p{n}:1", f"domain{n % 3}")
             for n in range(keepers)
@@ -276,12 +276,12 @@
         self.view = View(1, members)
         self.keepers = keepers
         self.processes = [Process(n, self) for n in range(keepers + relays)]
-        self.slowest_s = 0.0
+        self.max_delay_s = 0.0
         self._by_address = {p.address: p for p in self.processes}
         self._group: TaskGroup
 
     async def run(self, group: TaskGroup) -> None:
-        """Start everything in a group."""
+        """Start all processes and the checks in a task group."""
         self._group = group
         for process in self.processes:
             group.start_soon(process.run)
@@ -289,12 +289,12 @@
 
     def send(self, sender: Process, to: str, message: LedgerMessage) -> None:
         target = self._by_address[to.partition("#")[0]]
-        lost = self.lossy and self.draw.random() < 0.3
-        if sender.mute or target.deaf or lost:
+        lost = self.loses_messages and self.rng.random() < 0.3
+        if sender.drops_sent or target.drops_received or lost:
             return
         deliver = partial(self._deliver, sender.member, target, to, message)
         if sender.frozen:
-            sender.held.append(lambda: _start(self._group, deliver))
+            sender.deferred.append(lambda: _start(self._group, deliver))
         else:
             self._group.start_soon(deliver)
 
@@ -307,9 +307,11 @@
     async def _deliver(
         self, sender: str, target: Process, to: str, message: LedgerMessage
     ) -> None:
-        await anyio.sleep(self.draw.uniform(0.001, 0.005))
+        await anyio.sleep(self.rng.uniform(0.001, 0.005))
         if target.frozen:
-            target.held.append(partial(self._deliver_now, sender, target, to, message))
+            target.deferred.append(
+                partial(self._deliver_now, sender, target, to, message)
+            )
             return
         self._deliver_now(sender, target, to, message)
 
@@ -322,21 +324,21 @@
     def _check_process(self, process: Process) -> None:
         now = anyio.current_time()
         newest: dict[str, Item] = {}
-        newest_claimed: dict[str, Item] = {}
+        newest_known: dict[str, Item] = {}
         for item in self.store.history:
             newest[item.key] = item
             if item.revision <= process.mirror.revision:
-                newest_claimed[item.key] = item
-        for item in newest_claimed.values():
-            assert process.knows(item), f"{process.member} claims {item}"
+                newest_known[item.key] = item
+        for item in newest_known.values():
+            assert process.knows(item), f"{process.member} has not applied {item}"
         if process.frozen or process.cut_store or process.busy_store:
             return
-        if self.store.down or self.store.silent:
+        if self.store.down or self.store.is_unresponsive:
             return
-        if now - process.sound_since < CONTACT_S:
+        if now - process.undisturbed_since < CONTACT_S:
             return
         for item in newest.values():
             if not process.knows(item):
-                age = now - self.store.told_at[item.revision]
+                age = now - self.store.changed_at[item.revision]
                 assert age <= BOUND_S, f"{process.member} lacks {item} for {age:.2f} s"
-                self.slowest_s = max(self.slowest_s, age)
+                self.max_delay_s = max(self.max_delay_s, age)
--- a/tests/platform/settings_file.py
+++ b/tests/platform/settings_file.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, as tests write it for processes that they start."""
+"""Writing of the platform's settings file for processes started by tests."""
 
 from __future__ import annotations
 
--- a/tests/platform/standin_store.py
+++ b/tests/platform/standin_store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's store, written from its protocol, on loopback."""
+"""A stand-in for the platform's store that implements its protocol on loopback."""
 
 from __future__ import annotations
 
@@ -20,141 +20,141 @@
 
 
 class StoreStandin(Handler):
-    """Keys with one revision counter, watches, and the troubles of a real store.
+    """Keys with one revision counter, watches, and the faults of a real store.
 
     Attributes
     ----------
     down : bool
-        Every call is answered 503 and does nothing.
+        Every call gets status 503 and has no effect.
     loses : int
-        Writes from now on that take effect and whose answers are lost.
-    mutes : int
-        Watches from now on whose answers are lost while their channels stay open.
-    withholds : bool
-        Watches are answered with the newest revision and without its changes.
+        Number of next writes that take effect but whose responses are lost.
+    watches_to_mute : int
+        Number of next watches that get no response while their connections stay open.
+    withholds_changes : bool
+        Watches report the newest revision without its changes.
     page : int
-        Items of one page of a reading.
+        Number of items in one page of a range read.
     """
 
     def __init__(self) -> None:
         self.revision = 0
         self.items: dict[str, dict[str, Any]] = {}
         self.history: list[dict[str, Any]] = []
-        self.oldest = 0
+        self.oldest_revision = 0
         self.down = False
         self.loses = 0
-        self.mutes = 0
-        self.withholds = False
+        self.watches_to_mute = 0
+        self.withholds_changes = False
         self.page = 2
         self.calls: list[str] = []
         self.address = ""
-        self.channels: set[CallerChannel] = set()
+        self.caller_conns: set[CallerChannel] = set()
         self._changed = asyncio.Event()
 
     def put(self, key: str, value: bytes) -> None:
-        """Change a key as the operators or a server would."""
+        """Write a key, as the operators or a server would."""
         self.put_text(key, b64encode(value).decode())
 
     def put_text(self, key: str, text: str) -> None:
-        """Change a key to a value as it stands in answers, whether base64 or not."""
+        """Write a key with its value as sent in responses, base64 or not."""
         self.revision += 1
         item = {"key": key, "value": text, "rev": self.revision}
         self.items[key] = item
-        self._note(item)
+        self._record(item)
 
     def remove(self, key: str) -> None:
         """Remove a key."""
         self.revision += 1
         del self.items[key]
-        self._note({"key": key, "rev": self.revision, "removed": True})
+        self._record({"key": key, "rev": self.revision, "removed": True})
 
     def forget_history(self) -> None:
-        """Drop all history and cut the watches that wait."""
+        """Drop all history and abort the pending watches."""
         self.history.clear()
-        self.oldest = self.revision
-        for channel in list(self.channels):
-            channel.abort()
+        self.oldest_revision = self.revision
+        for caller_conn in list(self.caller_conns):
+            caller_conn.abort()
 
-    def _note(self, event: dict[str, Any]) -> None:
+    def _record(self, event: dict[str, Any]) -> None:
         self.history.append(event)
         self._changed.set()
         self._changed = asyncio.Event()
 
     def limits(self) -> CallerLimits:
-        """No limits of interest."""
+        """Return the default limits."""
         return CallerLimits()
 
     def closing(self) -> bool:
-        """Keep channels open."""
+        """Keep connections open."""
         return False
 
-    def refuse(self, bad: BadRequest, channel: CallerChannel) -> None:
-        """Answer what is no request."""
-        channel.respond(bad.status, [], b"")
+    def refuse(self, bad: BadRequest, caller_conn: CallerChannel) -> None:
+        """Respond to an invalid request."""
+        caller_conn.respond(bad.status, [], b"")
 
-    async def handle(self, req: Request, channel: CallerChannel) -> None:
-        """Answer a call."""
+    async def handle(self, req: Request, caller_conn: CallerChannel) -> None:
+        """Handle a call."""
         path = req.path
         self.calls.append(path)
         if self.down:
-            channel.respond(503, [], b"")
+            caller_conn.respond(503, [], b"")
             return
         query = {k: v[0] for k, v in parse_qs(urlsplit(req.target).query).items()}
         if path == "/v1/kv-range":
-            self._range(query, channel)
+            self._range(query, caller_conn)
         elif path == "/v1/kv-watch":
-            await self._watch(query, channel)
+            await self._watch(query, caller_conn)
         else:
-            self._write(req.body, channel)
+            self._write(req.body, caller_conn)
 
-    def _range(self, query: dict[str, str], channel: CallerChannel) -> None:
+    def _range(self, query: dict[str, str], caller_conn: CallerChannel) -> None:
         after = query.get("after", "")
         keys = sorted(k for k in self.items if k > after)
         found = [self.items[key] for key in keys[: self.page]]
-        self._say(channel, items=found, truncated=len(keys) > self.page)
+        self._respond(caller_conn, items=found, truncated=len(keys) > self.page)
 
-    async def _watch(self, query: dict[str, str], channel: CallerChannel) -> None:
+    async def _watch(self, query: dict[str, str], caller_conn: CallerChannel) -> None:
         after = int(query["after"])
-        if after < self.oldest:
-            channel.respond(410, [], b"")
+        if after < self.oldest_revision:
+            caller_conn.respond(410, [], b"")
             return
         if after >= self.revision:
             with anyio.move_on_after(int(query["waitMs"]) / 1000):
                 await self._changed.wait()
-        if self.mutes:
-            self.mutes -= 1
+        if self.watches_to_mute:
+            self.watches_to_mute -= 1
             await anyio.sleep_forever()
         events = [event for event in self.history if event["rev"] > after]
-        if self.withholds:
+        if self.withholds_changes:
             events = []
-        self._say(channel, events=events)
+        self._respond(caller_conn, events=events)
 
-    def _write(self, body: bytes, channel: CallerChannel) -> None:
+    def _write(self, body: bytes, caller_conn: CallerChannel) -> None:
         call = msgspec.json.decode(body)
         for row in call["precondition"]:
             if self.items.get(row["key"], {"rev": 0})["rev"] != row["rev"]:
-                channel.respond(412, [], b'{"items":[]}')
+                caller_conn.respond(412, [], b'{"items":[]}')
                 return
         for put in call["puts"]:
             self.put(put["key"], b64decode(put["value"]))
         if self.loses:
             self.loses -= 1
-            channel.abort()
+            caller_conn.abort()
             return
-        self._say(channel, rev=self.revision)
+        self._respond(caller_conn, rev=self.revision)
 
-    def _say(self, channel: CallerChannel, **body: Any) -> None:
+    def _respond(self, caller_conn: CallerChannel, **body: Any) -> None:
         body["currentRev"] = self.revision
-        channel.respond(200, [], msgspec.json.encode(body))
+        caller_conn.respond(200, [], msgspec.json.encode(body))
 
 
 @asynccontextmanager
 async def standin_store() -> AsyncIterator[StoreStandin]:
-    """Run a store."""
+    """Run a stand-in store."""
     store = StoreStandin()
     async with anyio.create_task_group() as group:
         listener = await asyncio.get_running_loop().create_server(
-            lambda: CallerChannel(store, group, store.channels), HOST, 0
+            lambda: CallerChannel(store, group, store.caller_conns), HOST, 0
         )
         store.address = f"{HOST}:{listener.sockets[0].getsockname()[1]}"
         yield store
--- a/tests/platform/test_credentials.py
+++ b/tests/platform/test_credentials.py
@@ -1,4 +1,4 @@
-"""Keys of customers: what is taken for one, and that none gets any further."""
+"""Keys of customers: which values are accepted, and that no key is passed on."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     return decoded
 
 
-def test_one_key_of_the_right_scheme_is_taken() -> None:
+def test_one_key_of_the_right_scheme_is_accepted() -> None:
     expected = digest_of(KEY.encode())
     assert key_digest(headers(b"Bearer " + KEY.encode())) == expected
     assert key_digest(headers(b"bearer  " + KEY.encode() + b" ")) == expected
@@ -62,25 +62,26 @@
     ],
     ids=str,
 )
-def test_anything_else_is_no_key(values: tuple[bytes, ...]) -> None:
-    """A caller sends no key, two of them, another scheme, or bytes that are none."""
+def test_anything_else_is_rejected(values: tuple[bytes, ...]) -> None:
+    """A caller sends no key, two keys, another scheme or an invalid key."""
     assert key_digest(headers(*values)) == ""
 
 
-def test_the_configuration_loses_its_keys_before_anybody_sees_it() -> None:
-    """The document is passed on between processes and written to disks.
+def test_keys_in_the_configuration_are_replaced() -> None:
+    """The document is sent between processes and written to disks.
 
-    Neither may hold a key: whoever reads a disk or a message could ask as the customer.
+    It must not contain a key: a reader of a disk or a message could use it to send
+    requests as the customer.
     """
     document = replace_keys_with_digests(json.dumps(CONFIG).encode())
     assert KEY.encode() not in document and b"other" not in document
     assert replace_keys_with_digests(document) != b"", (
-        "taking them out twice does no harm"
+        "replacing the keys twice has no effect"
     )
 
 
-def test_a_document_that_cannot_be_read_is_dropped_whole() -> None:
-    """It may hold a key anywhere; an empty one leaves the last good one in force."""
+def test_a_document_that_does_not_decode_is_dropped() -> None:
+    """It may contain a key anywhere; the last valid document stays in force."""
     for value in (b'{"tenants": [{"apiKeys": ["' + KEY.encode(), b"\xff", b"[1]"):
         assert replace_keys_with_digests(value) == b""
     assert isinstance(decode_config(b""), BadDocument)
@@ -89,7 +90,7 @@
     assert isinstance(decode_config(broken), BadDocument)
 
 
-def test_customers_are_known_with_their_rank_and_quota() -> None:
+def test_customers_have_their_priority_and_quota() -> None:
     customers = table().customers
     assert customers is not None and not customers.problems
     one = customers.holder(digest_of(KEY.encode()))
@@ -116,11 +117,11 @@
     ],
     ids=str,
 )
-def test_a_customer_that_makes_no_sense_takes_no_other_away(
-    tenant: object, named: str
+def test_an_invalid_customer_does_not_affect_the_others(
+    tenant: object, problem_name: str
 ) -> None:
-    """One entry of the configuration is wrong; everybody else goes on being served."""
+    """One tenant of the configuration is invalid; all others are still served."""
     customers = table(tenants=[CONFIG["tenants"][0], tenant]).customers  # type: ignore[index]
     assert customers is not None
     assert customers.holder(digest_of(KEY.encode())) is not None
-    assert [problem.customer for problem in customers.problems] == [named]
+    assert [problem.customer for problem in customers.problems] == [problem_name]
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -1,4 +1,4 @@
-"""Entries of backend servers, as other writers may leave them in the store."""
+"""Decoding of the entries of backend servers, valid and invalid ones."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 def decoded(**changes: object) -> Server | BadDocument:
     entry = ENTRY | changes
-    kept = {name: value for name, value in entry.items() if value is not ...}
-    return decode_server(KEY, json.dumps(kept).encode())
+    fields = {name: value for name, value in entry.items() if value is not ...}
+    return decode_server(KEY, json.dumps(fields).encode())
 
 
-def test_a_whole_entry_names_one_start_of_a_server() -> None:
+def test_a_valid_entry_decodes_to_a_server() -> None:
     server = decoded()
     assert server == Server(
         "i-1", "svc", "10.0.0.1:80", "z1", 8, False, 1.5, 1_780_000_000_123
@@ -59,12 +59,12 @@
     ],
     ids=str,
 )
-def test_an_entry_that_is_not_whole_names_no_server(changes: dict[str, object]) -> None:
+def test_an_invalid_entry_is_rejected(changes: dict[str, object]) -> None:
     server = decoded(**changes)
     assert isinstance(server, BadDocument)
     assert server.key == KEY and server.reason
 
 
 @pytest.mark.parametrize("value", [b"", b"\xff\xfe\x00", b"[]", b"null", b'{"service'])
-def test_bytes_that_cannot_be_read_name_no_server(value: bytes) -> None:
+def test_invalid_json_is_rejected(value: bytes) -> None:
     assert isinstance(decode_server(KEY, value), BadDocument)
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -1,4 +1,4 @@
-"""Headers of requests: what is read, what is refused, what a server is sent."""
+"""Headers of requests: decoding, rejection, and the headers sent to a server."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     return Request("POST", "/turn/x", headers, b"", True, 0.0)
 
 
-def test_a_turn_says_what_it_needs() -> None:
+def test_headers_of_a_turn_are_decoded() -> None:
     asked = decode_request(
         request(
             X_Deadline_Ms="3000",
@@ -51,17 +51,17 @@
         ("X_Prompt_Prefix", "5c"),
     ],
 )
-def test_numbers_that_make_no_sense_are_refused(name: str, value: str) -> None:
-    """A caller sends a number that is none, endless or negative.
+def test_invalid_numbers_are_rejected(name: str, value: str) -> None:
+    """A caller sends a number that is invalid, infinite or negative.
 
-    Taken as it is, "nan" ends the channel without an answer when it is used, and a
-    negative number of tokens makes room in the budget for more than it holds.
+    "nan" would fail when it is used and close the connection without a response.  A
+    negative number of tokens would raise the remaining budget above its limit.
     """
     assert isinstance(decode_request(request(**{name: value})), BadHeader)
 
 
-def test_what_only_the_system_sets_is_not_taken_from_callers() -> None:
-    """A caller sends headers that would hold memory of an engine or go on from it."""
+def test_system_headers_of_callers_are_dropped() -> None:
+    """A caller sends headers that would lease engine memory or reuse a cache."""
     req = request(X_Hold="1", X_Pin_Ms="9", Kv_From="a/b", X_Other="kept")
     headers = dict(
         server_headers(req, left_s=1.5, server_id="s1", body_bytes=0, urgency=3)
--- a/tests/platform/test_mirror.py
+++ b/tests/platform/test_mirror.py
@@ -1,4 +1,4 @@
-"""The local copy of the store's keys, while the store misbehaves."""
+"""The local copy of the store's keys under faults of the store."""
 
 from __future__ import annotations
 
@@ -20,158 +20,176 @@
 CONTACT_S = 3.0
 
 
-class Copy:
-    """What a mirror has told."""
+class ChangeRecorder:
+    """Records the changes that a mirror reports."""
 
     def __init__(self) -> None:
         self.values: dict[str, bytes] = {}
-        self.told: list[Item] = []
-        self.readings = 0
+        self.changes: list[Item] = []
+        self.full_reads = 0
 
-    def change(self, item: Item) -> None:
-        self.told.append(item)
+    def on_change(self, item: Item) -> None:
+        self.changes.append(item)
         if item.value is None:
             self.values.pop(item.key, None)
         else:
             self.values[item.key] = item.value
 
-    def listed(self, present: set[str]) -> None:
-        self.readings += 1
+    def on_full_read(self, present: set[str]) -> None:
+        self.full_reads += 1
 
 
-def play(story: Callable[[StoreStandin, Copy, Store], Awaitable[None]]) -> None:
+def run_scenario(
+    scenario: Callable[[StoreStandin, ChangeRecorder, Store], Awaitable[None]],
+) -> None:
     async def main() -> None:
         async with standin_store() as standin:
             for number in range(5):
                 standin.put(f"servers/{number}", b"first")
             store = Store(standin.address, make_store_times(CONTACT_S))
-            copy = Copy()
-            mirror = Mirror(store, copy.change, copy.listed)
+            recorder = ChangeRecorder()
+            mirror = Mirror(store, recorder.on_change, recorder.on_full_read)
             async with anyio.create_task_group() as group:
                 group.start_soon(mirror.run)
                 with anyio.fail_after(15):
-                    await until(lambda: copy.readings > 0)
-                    await story(standin, copy, store)
+                    await wait_until(lambda: recorder.full_reads > 0)
+                    await scenario(standin, recorder, store)
                 group.cancel_scope.cancel()
             await store.close()
 
     anyio.run(main)
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     while not condition():
         await anyio.sleep(0.01)
 
 
-def test_a_value_that_is_not_base64_takes_no_other_away() -> None:
-    """Another writer leaves bytes that the store passes on as they are."""
+def test_a_value_that_is_not_base64_does_not_affect_others() -> None:
+    """The store returns an invalid value of another writer unchanged."""
 
-    async def story(standin: StoreStandin, copy: Copy, store: Store) -> None:
+    async def scenario(
+        standin: StoreStandin, recorder: ChangeRecorder, store: Store
+    ) -> None:
         standin.put_text("servers/odd", "*no base64*")
         standin.put("servers/9", b"good")
-        await until(lambda: "servers/9" in copy.values)
-        assert copy.values["servers/odd"] == b"*no base64*"
-        listed = await store.list_all("")
-        assert not isinstance(listed, StoreTrouble)
-        assert len(listed.items) == 7
+        await wait_until(lambda: "servers/9" in recorder.values)
+        assert recorder.values["servers/odd"] == b"*no base64*"
+        on_full_read = await store.list_all("")
+        assert not isinstance(on_full_read, StoreTrouble)
+        assert len(on_full_read.items) == 7
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_all_pages_and_then_changes_arrive() -> None:
-    async def story(standin: StoreStandin, copy: Copy, store: Store) -> None:
-        assert len(copy.values) == 5
+def test_all_pages_and_later_changes_arrive() -> None:
+    async def scenario(
+        standin: StoreStandin, recorder: ChangeRecorder, store: Store
+    ) -> None:
+        assert len(recorder.values) == 5
         standin.put("op/config", b'{"version":2}')
         standin.remove("servers/3")
-        await until(lambda: "servers/3" not in copy.values)
-        assert copy.values["op/config"] == b'{"version":2}'
+        await wait_until(lambda: "servers/3" not in recorder.values)
+        assert recorder.values["op/config"] == b'{"version":2}'
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_lost_history_leads_to_a_full_reading() -> None:
-    """The store drops its history while keys change, and cuts the watch.
+def test_expired_history_leads_to_a_full_read() -> None:
+    """The store drops its history while keys change, and aborts the watch.
 
-    A mirror that only went on watching would never hear that a server had left.
+    A mirror that only continued to watch would miss the removal of a server.
     """
 
-    async def story(standin: StoreStandin, copy: Copy, store: Store) -> None:
+    async def scenario(
+        standin: StoreStandin, recorder: ChangeRecorder, store: Store
+    ) -> None:
         standin.remove("servers/1")
         standin.put("servers/9", b"late")
         standin.forget_history()
-        await until(lambda: copy.readings >= 2 or "servers/9" in copy.values)
-        await until(lambda: "servers/1" not in copy.values)
-        assert copy.values["servers/9"] == b"late"
+        await wait_until(
+            lambda: recorder.full_reads >= 2 or "servers/9" in recorder.values
+        )
+        await wait_until(lambda: "servers/1" not in recorder.values)
+        assert recorder.values["servers/9"] == b"late"
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_an_outage_changes_nothing_until_the_store_says_so() -> None:
-    """The store is down for a while; what was known goes on being used."""
+def test_an_outage_does_not_change_the_copy() -> None:
+    """The store is down for a while; the last known values stay in use."""
 
-    async def story(standin: StoreStandin, copy: Copy, store: Store) -> None:
+    async def scenario(
+        standin: StoreStandin, recorder: ChangeRecorder, store: Store
+    ) -> None:
         standin.down = True
-        for channel in list(standin.channels):
-            channel.abort()
+        for caller_conn in list(standin.caller_conns):
+            caller_conn.abort()
         await anyio.sleep(0.5)
-        assert len(copy.values) == 5
-        assert all(item.value is not None for item in copy.told)
+        assert len(recorder.values) == 5
+        assert all(item.value is not None for item in recorder.changes)
         standin.put("op/config", b'{"version":3}')
         standin.down = False
-        await until(lambda: copy.values.get("op/config") == b'{"version":3}')
+        await wait_until(lambda: recorder.values.get("op/config") == b'{"version":3}')
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_a_lost_answer_of_a_watch_hides_changes_for_three_seconds_at_most() -> None:
-    """The store answers a watch, and the answer is lost; the connection stays alive.
+def test_a_lost_watch_response_delays_changes_by_at_most_three_seconds() -> None:
+    """The response to a watch is lost, but the connection stays open.
 
-    The relay goes on with an old configuration and nothing tells it: probes of the
-    connection are answered.  Only a watch that waits shortly finds out.
+    The relay continues with an old configuration: keep-alive probes succeed, so only
+    the short timeout of the watch reveals the loss.
     """
 
-    async def story(standin: StoreStandin, copy: Copy, store: Store) -> None:
-        standin.mutes = 1
+    async def scenario(
+        standin: StoreStandin, recorder: ChangeRecorder, store: Store
+    ) -> None:
+        standin.watches_to_mute = 1
         standin.put("op/config", b'{"version":4}')
-        began = anyio.current_time()
-        await until(lambda: copy.values.get("op/config") == b'{"version":4}')
-        assert anyio.current_time() - began < 3.2
+        started_at = anyio.current_time()
+        await wait_until(lambda: recorder.values.get("op/config") == b'{"version":4}')
+        assert anyio.current_time() - started_at < 3.2
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_a_revision_without_its_changes_is_not_taken_for_known() -> None:
-    """Guards against a change that a watch skips and that nobody asks for again."""
+def test_a_revision_without_its_changes_is_not_accepted() -> None:
+    """Guards against a change that a watch skips and that is never requested again."""
 
-    async def story(standin: StoreStandin, copy: Copy, store: Store) -> None:
-        standin.withholds = True
+    async def scenario(
+        standin: StoreStandin, recorder: ChangeRecorder, store: Store
+    ) -> None:
+        standin.withholds_changes = True
         standin.put("op/config", b'{"version":5}')
         await anyio.sleep(0.5)
-        standin.withholds = False
+        standin.withholds_changes = False
         standin.put("servers/1", b"later")
-        await until(lambda: copy.values["servers/1"] == b"later")
-        assert copy.values["op/config"] == b'{"version":5}'
+        await wait_until(lambda: recorder.values["servers/1"] == b"later")
+        assert recorder.values["op/config"] == b'{"version":5}'
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_swap_has_three_outcomes() -> None:
-    """A write takes effect and its answer is lost.
+    """A write takes effect and its response is lost.
 
-    The writer must not take it for refused: here it only learns that it does not know,
-    and the next reading tells what the store holds.
+    The writer must not treat it as rejected.  Its outcome is unknown until the value is
+    read again.
     """
 
-    async def story(standin: StoreStandin, copy: Copy, store: Store) -> None:
+    async def scenario(
+        standin: StoreStandin, recorder: ChangeRecorder, store: Store
+    ) -> None:
         assert isinstance(await store.swap("a", 0, b"1"), Swapped)
         assert isinstance(await store.swap("a", 0, b"2"), SwapConflict)
         standin.loses = 1
         revision = standin.items["a"]["rev"]
         outcome = await store.swap("a", revision, b"3")
         assert isinstance(outcome, StoreTrouble) and not outcome.had_no_effect
-        await until(lambda: copy.values["a"] == b"3")
+        await wait_until(lambda: recorder.values["a"] == b"3")
         standin.down = True
         outcome = await store.swap("a", 0, b"4")
         assert isinstance(outcome, StoreTrouble) and outcome.had_no_effect
 
-    play(story)
+    run_scenario(scenario)
--- a/tests/platform/test_mirror_overlaps.py
+++ b/tests/platform/test_mirror_overlaps.py
@@ -1,4 +1,4 @@
-"""Faults of the store, the processes and the wires that last at the same time."""
+"""Overlapping faults of the store, the processes and the network."""
 
 from __future__ import annotations
 
@@ -10,77 +10,81 @@
 import pytest
 
 from tests.platform.fleet_of_mirrors import CONTACT_S, Fleet, Process
-from tests.platform.test_mirror_watchers import play, virtual_clocks, watching
+from tests.platform.test_mirror_watchers import (
+    run_scenario,
+    virtual_clocks,
+    watching_processes,
+)
 
 __all__ = ["virtual_clocks"]
 
-LONGEST_S = 6.0
-# How long watches hear nothing before the store drops its history, in seconds.
+MAX_FAULT_S = 6.0
+# Time for which the store is unresponsive before it drops its history, in seconds.
 COMPACTION_S = 1.0
 
 Fault = Callable[["Faults"], Awaitable[None]]
 
 
 class Faults:
-    """Faults that may hold the same process at once."""
+    """Injects faults, several of which may affect one process at the same time."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
-        self.draw = fleet.draw
-        self._held: Counter[tuple[str, str]] = Counter()
+        self.rng = fleet.rng
+        self._active: Counter[tuple[str, str]] = Counter()
 
-    def some(self) -> list[Process]:
-        if self.draw.random() < 0.4:
-            return watching(self.fleet)[: self.draw.randint(1, 2)]
-        return self.draw.sample(self.fleet.processes, self.draw.randint(1, 4))
+    def draw_processes(self) -> list[Process]:
+        if self.rng.random() < 0.4:
+            return watching_processes(self.fleet)[: self.rng.randint(1, 2)]
+        return self.rng.sample(self.fleet.processes, self.rng.randint(1, 4))
 
-    async def pause(self) -> None:
-        await anyio.sleep(self.draw.uniform(0.05, LONGEST_S))
+    async def sleep(self) -> None:
+        await anyio.sleep(self.rng.uniform(0.05, MAX_FAULT_S))
 
-    async def hold(self, field: str, excuse: bool) -> None:
-        some = self.some()
-        for process in some:
-            self._held[process.address, field] += 1
+    async def apply(self, field: str, interrupts: bool) -> None:
+        targets = self.draw_processes()
+        for process in targets:
+            self._active[process.address, field] += 1
             setattr(process, field, True)
-        await self.pause()
-        for process in some:
-            self._held[process.address, field] -= 1
-            if self._held[process.address, field] == 0:
+        await self.sleep()
+        for process in targets:
+            self._active[process.address, field] -= 1
+            if self._active[process.address, field] == 0:
                 setattr(process, field, False)
                 if field == "frozen":
-                    process.thaw()
-            if excuse:
-                process.disturbed()
+                    process.unfreeze()
+            if interrupts:
+                process.record_disturbance()
 
-    def store_recovers(self) -> None:
-        """End an outage with a change, as operators do who have waited for it."""
+    def end_outage(self) -> None:
+        """End an outage with a change of the configuration."""
         for process in self.fleet.processes:
-            process.disturbed()
+            process.record_disturbance()
         self.fleet.store.change("op/config", b"waited")
 
 
 async def freeze(faults: Faults) -> None:
-    await faults.hold("frozen", excuse=True)
+    await faults.apply("frozen", interrupts=True)
 
 
 async def cut_from_store(faults: Faults) -> None:
-    await faults.hold("cut_store", excuse=True)
+    await faults.apply("cut_store", interrupts=True)
 
 
-async def turn_away(faults: Faults) -> None:
-    await faults.hold("busy_store", excuse=True)
+async def reject_calls(faults: Faults) -> None:
+    await faults.apply("busy_store", interrupts=True)
 
 
-async def hear_nothing(faults: Faults) -> None:
-    await faults.hold("deaf", excuse=False)
+async def drop_received(faults: Faults) -> None:
+    await faults.apply("drops_received", interrupts=False)
 
 
-async def say_nothing(faults: Faults) -> None:
-    await faults.hold("mute", excuse=False)
+async def drop_sent(faults: Faults) -> None:
+    await faults.apply("drops_sent", interrupts=False)
 
 
 async def kill(faults: Faults) -> None:
-    for process in faults.some():
+    for process in faults.draw_processes():
         process.kill()
 
 
@@ -89,25 +93,25 @@
         process.kill()
 
 
-async def silence(faults: Faults) -> None:
+async def make_unresponsive(faults: Faults) -> None:
     store = faults.fleet.store
-    if store.silent:
+    if store.is_unresponsive:
         return
-    store.fall_silent()
-    await faults.pause()
-    store.silent = False
-    faults.store_recovers()
+    store.become_unresponsive()
+    await faults.sleep()
+    store.is_unresponsive = False
+    faults.end_outage()
 
 
-async def start_in_silence(faults: Faults) -> None:
+async def restart_while_unresponsive(faults: Faults) -> None:
     store = faults.fleet.store
-    if store.silent:
+    if store.is_unresponsive:
         return
-    store.fall_silent()
+    store.become_unresponsive()
     await kill_all(faults)
-    await anyio.sleep(faults.draw.uniform(0.05, 2 * LONGEST_S))
-    store.silent = False
-    faults.store_recovers()
+    await anyio.sleep(faults.rng.uniform(0.05, 2 * MAX_FAULT_S))
+    store.is_unresponsive = False
+    faults.end_outage()
 
 
 async def outage(faults: Faults) -> None:
@@ -116,21 +120,21 @@
         return
     store.down = True
     store.cut_watches()
-    await faults.pause()
+    await faults.sleep()
     store.down = False
-    faults.store_recovers()
+    faults.end_outage()
 
 
 async def compaction(faults: Faults) -> None:
     store = faults.fleet.store
-    if store.silent:
+    if store.is_unresponsive:
         return
-    store.fall_silent()
+    store.become_unresponsive()
     await anyio.sleep(COMPACTION_S)
-    store.silent = False
-    store.forget()
+    store.is_unresponsive = False
+    store.drop_history()
     store.cut_watches()
-    faults.store_recovers()
+    faults.end_outage()
 
 
 async def cut_watches(faults: Faults) -> None:
@@ -140,50 +144,50 @@
 FAULTS: list[Fault] = [
     freeze,
     cut_from_store,
-    turn_away,
-    hear_nothing,
-    say_nothing,
+    reject_calls,
+    drop_received,
+    drop_sent,
     kill,
     kill_all,
-    silence,
-    start_in_silence,
+    make_unresponsive,
+    restart_while_unresponsive,
     outage,
     compaction,
     cut_watches,
 ]
 
 
-async def _strike(faults: Faults, count: int) -> None:
+async def _inject_faults(faults: Faults, count: int) -> None:
     for _ in range(count):
-        await anyio.sleep(faults.draw.uniform(0.0, 3.0))
-        await faults.draw.choice(FAULTS)(faults)
+        await anyio.sleep(faults.rng.uniform(0.0, 3.0))
+        await faults.rng.choice(FAULTS)(faults)
 
 
-async def _change(fleet: Fleet) -> None:
-    draw = fleet.draw
+async def _change_keys(fleet: Fleet) -> None:
+    rng = fleet.rng
     while True:
-        if not (fleet.store.down or fleet.store.silent):
-            key = draw.choice(["op/config", "servers/1", "servers/2"])
-            fleet.store.change(key, draw.choice([b"new", b"newer", None]))
-        await anyio.sleep(draw.uniform(0.05, 1.5))
+        if not (fleet.store.down or fleet.store.is_unresponsive):
+            key = rng.choice(["op/config", "servers/1", "servers/2"])
+            fleet.store.change(key, rng.choice([b"new", b"newer", None]))
+        await anyio.sleep(rng.uniform(0.05, 1.5))
 
 
-# Seeds 410, 484 and 492: limits of calls that were not derived from the bound.
+# Seeds 410, 484 and 492 fail if call timeouts are not derived from the bound.
 @pytest.mark.parametrize("seed", [*range(400, 412), 484, 492])
 def test_no_change_is_late_while_faults_overlap(seed: int) -> None:
-    """Guards against a wait that is short enough alone and too long after another."""
+    """Guards against a wait that is too long only in sequence with another."""
 
-    async def story(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         faults = Faults(fleet)
         async with anyio.create_task_group() as changes:
-            changes.start_soon(partial(_change, fleet))
-            async with anyio.create_task_group() as strikes:
+            changes.start_soon(partial(_change_keys, fleet))
+            async with anyio.create_task_group() as fault_group:
                 for _ in range(3):
-                    strikes.start_soon(_strike, faults, 5)
+                    fault_group.start_soon(_inject_faults, faults, 5)
             await anyio.sleep(CONTACT_S + 2.0)
             changes.cancel_scope.cancel()
         await anyio.sleep(CONTACT_S)
         for process in fleet.processes:
             assert process.mirror.revision == fleet.store.revision
 
-    play(story, seed=seed)
+    run_scenario(scenario, seed=seed)
--- a/tests/platform/test_mirror_watchers.py
+++ b/tests/platform/test_mirror_watchers.py
@@ -1,4 +1,4 @@
-"""Changes of the store reach every process, while those that watch for all fail."""
+"""Changes of the store reach every process while watchers fail."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from wisteriastair.core.watchers import make_watch_times, watchers_of
 from wisteriastair.platform import mirror
 
-Story = Callable[[Fleet], Awaitable[None]]
+Scenario = Callable[[Fleet], Awaitable[None]]
 
 
 @pytest.fixture(autouse=True)
@@ -23,110 +23,112 @@
     monkeypatch.setattr(clocks, "time", LoopTime)
 
 
-def play(story: Story, keepers: int = 4, relays: int = 6, seed: int = 1) -> None:
+def run_scenario(
+    scenario: Scenario, keepers: int = 4, relays: int = 6, seed: int = 1
+) -> None:
     async def main() -> None:
         random.seed(seed)
         fleet = Fleet(keepers, relays, seed)
         async with anyio.create_task_group() as group:
             fleet.store.change("op/config", b"first")
             await fleet.run(group)
-            # All have made their first calls and rely on those that watch.
+            # By now all processes have read the store and rely on the watchers.
             await anyio.sleep(CONTACT_S + 3.0)
-            await story(fleet)
+            await scenario(fleet)
             group.cancel_scope.cancel()
 
     play_in_virtual_time(main)
 
 
-def watching(fleet: Fleet) -> list[Process]:
+def watching_processes(fleet: Fleet) -> list[Process]:
     addresses = {m.address for m in watchers_of(fleet.view, 1)}
     return [p for p in fleet.processes if p.address in addresses]
 
 
 @pytest.mark.parametrize("relays", [5, 60, 300])
 def test_calls_do_not_grow_with_processes(relays: int) -> None:
-    """Every change cost as many calls as there are processes.
+    """Guards against as many calls for each change as there are processes.
 
-    On 84 processes a calm day took 7,093 calls.  Now only those that watch call: each
-    waits a quarter of the bound at most, and is answered once for each change.
+    With 84 processes that made 7,093 calls on a quiet day.  Only watchers make calls:
+    each waits at most a quarter of the bound and gets one response for each change.
     """
 
-    async def story(fleet: Fleet) -> None:
-        before = fleet.store.calls
+    async def scenario(fleet: Fleet) -> None:
+        before = fleet.store.call_count
         for number in range(10):
             fleet.store.change(f"servers/{number}", b"new")
             await anyio.sleep(1.0)
         waits = 10.0 / make_watch_times(2.0).wait_s
-        assert fleet.store.calls - before <= 2 * (waits + 2 * 10)
+        assert fleet.store.call_count - before <= 2 * (waits + 2 * 10)
 
-    play(story, relays=relays)
+    run_scenario(scenario, relays=relays)
 
 
-def test_the_word_of_a_dead_watcher_ends_within_the_bound() -> None:
-    """A server leaves and goes on getting requests: all watchers were lost before.
+def test_updates_of_failed_watchers_expire_within_the_bound() -> None:
+    """A server leaves and still gets requests, since all watchers failed before.
 
-    Nothing tells the others that they hear nothing any more but the time.
+    The other processes can detect this only by the age of the last update.
     """
 
-    async def story(fleet: Fleet) -> None:
-        for process in watching(fleet):
+    async def scenario(fleet: Fleet) -> None:
+        for process in watching_processes(fleet):
             process.frozen = True
         fleet.store.change("servers/1", b"draining")
         await anyio.sleep(3.0)
-        assert 0.3 < fleet.slowest_s <= 1.5
+        assert 0.3 < fleet.max_delay_s <= 1.5
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_a_change_that_was_lost_on_the_way_is_asked_for() -> None:
-    """One relay keeps an old configuration: the message with the new one was lost.
+def test_a_change_that_was_lost_in_the_network_is_requested() -> None:
+    """A relay has an old configuration because the message with the new one was lost.
 
-    The next word of any watcher names a newer revision than the relay holds.
+    The next update of any watcher has a newer revision than the relay.
     """
 
-    async def story(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         relay = fleet.processes[-1]
-        relay.deaf = True
+        relay.drops_received = True
         fleet.store.change("op/config", b"second")
         await anyio.sleep(0.1)
-        relay.deaf = False
+        relay.drops_received = False
         await anyio.sleep(1.0)
         assert relay.applied["op/config"].revision == fleet.store.revision
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_old_news_of_a_watcher_that_wakes_does_not_count() -> None:
-    """A watcher wakes after ten seconds and passes on an answer from before them.
+def test_an_outdated_response_of_a_resumed_watcher_is_ignored() -> None:
+    """A watcher resumes after ten seconds and reads a response from before its pause.
 
-    The answer says that nothing has changed; taken as fresh it would keep the others
-    from looking for themselves while the watcher finds its connection dead.
+    The response contains no changes.  If it were forwarded as recent, the others would
+    not call the store themselves while the watcher detects its half-open connection.
     """
 
-    async def story(fleet: Fleet) -> None:
-        for process in watching(fleet):
+    async def scenario(fleet: Fleet) -> None:
+        for process in watching_processes(fleet):
             process.frozen = True
         await anyio.sleep(10.0)
         relay = fleet.processes[-1]
-        for process in watching(fleet):
+        for process in watching_processes(fleet):
             process.cut_store = True
-            process.thaw()
+            process.unfreeze()
         await anyio.sleep(0.05)
         assert relay.subscription.covered_until(anyio.current_time()) < (
             anyio.current_time()
         )
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_watchers_that_lost_the_store_say_so() -> None:
-    """The store is away for all; a relay must not vouch for what it knows.
+def test_watchers_report_that_they_lost_the_store() -> None:
+    """The store is unreachable for all processes; a relay must not report to know it.
 
-    It notices when the watchers tell it, not only when it hears nothing for a while,
-    and is in touch again as soon as they are.
+    The relay must learn it from the watchers, not only from missing updates, and must
+    count as connected again as soon as the watchers do.
     """
 
-    async def story(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         relay = fleet.processes[-1]
         assert relay.mirror.in_touch
         fleet.store.down = True
@@ -136,16 +138,16 @@
         await anyio.sleep(1.5)
         assert relay.mirror.in_touch
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_a_relay_that_the_store_turns_away_hears_from_the_watchers() -> None:
-    """The store refuses one relay for long, and serves all others.
+def test_a_relay_rejected_by_the_store_gets_updates_from_watchers() -> None:
+    """The store rejects the calls of one relay and serves all other processes.
 
-    The relay went on without any change for as long; now it gets them all.
+    Guards against a relay that gets no changes for that time.
     """
 
-    async def story(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         relay = fleet.processes[-1]
         relay.busy_store = True
         fleet.store.change("op/config", b"second")
@@ -153,97 +155,112 @@
         assert relay.applied["op/config"].revision == fleet.store.revision
         assert relay.mirror.in_touch
 
-    play(story)
-
-
-def _disturb(fleet: Fleet) -> Callable[[], None]:
-    """Begin a fault that the fleet's seed draws; return what ends it."""
-    draw = fleet.draw
-    some = draw.sample(fleet.processes, draw.randint(1, 3))
-    if draw.random() < 0.4:
-        some = watching(fleet)[: draw.randint(1, 2)]
-    kind = draw.choice(
-        ["kill", "freeze", "cut_store", "busy_store", "deaf", "mute", "forget"]
-        + ["down", "lossy", "kill_keepers"]
+    run_scenario(scenario)
+
+
+def _start_random_fault(fleet: Fleet) -> Callable[[], None]:
+    """Start a random fault; return a function that ends it."""
+    rng = fleet.rng
+    targets = rng.sample(fleet.processes, rng.randint(1, 3))
+    if rng.random() < 0.4:
+        targets = watching_processes(fleet)[: rng.randint(1, 2)]
+    kind = rng.choice(
+        [
+            "kill",
+            "freeze",
+            "cut_store",
+            "busy_store",
+            "drops_received",
+            "drops_sent",
+            "drop_history",
+        ]
+        + ["down", "loses_messages", "kill_keepers"]
     )
     if kind == "kill":
-        for process in some:
+        for process in targets:
             process.kill()
     elif kind == "kill_keepers":
         for process in fleet.processes[: fleet.keepers]:
             process.kill()
-    elif kind == "forget":
-        fleet.store.forget()
+    elif kind == "drop_history":
+        fleet.store.drop_history()
     elif kind == "down":
         fleet.store.down = True
-    elif kind == "lossy":
-        fleet.lossy = True
+    elif kind == "loses_messages":
+        fleet.loses_messages = True
     else:
         field = "frozen" if kind == "freeze" else kind
-        for process in some:
+        for process in targets:
             setattr(process, field, True)
 
-    def end() -> None:
+    def end_fault() -> None:
         fleet.store.down = False
-        fleet.lossy = False
-        for process in some:
-            process.thaw()
+        fleet.loses_messages = False
+        for process in targets:
+            process.unfreeze()
             process.cut_store = process.busy_store = False
-            process.deaf = process.mute = False
-        # The store's outage and faults of the process itself; being cut off from the
-        # other processes alone is no excuse.
-        for process in fleet.processes if kind == "down" else some:
-            if kind not in ("deaf", "mute", "forget", "lossy", "kill_keepers"):
-                process.disturbed()
-
-    return end
-
-
-# Seeds 134 and 141: a watch begun during a cut found out only after it had healed.
+            process.drops_received = process.drops_sent = False
+        # Only faults of the store or of the process itself allow late changes, not lost
+        # messages between processes.
+        for process in fleet.processes if kind == "down" else targets:
+            if kind not in (
+                "drops_received",
+                "drops_sent",
+                "drop_history",
+                "loses_messages",
+                "kill_keepers",
+            ):
+                process.record_disturbance()
+
+    return end_fault
+
+
+# Seeds 134 and 141 fail if a watch begun during a partition still waits after its end.
 @pytest.mark.parametrize("seed", [*range(24), 134, 141])
-def test_no_change_is_missed_undone_or_late_under_faults(seed: int) -> None:
-    """Watchers and others are killed, frozen, cut off and refused, one on another.
+def test_no_change_is_missed_reverted_or_late_under_faults(seed: int) -> None:
+    """Processes are killed, frozen, partitioned and rejected one after another.
 
-    A relay must never go back to an older configuration, must not claim to know what
-    it has missed, and while it reaches the store must know each change in time.
+    A relay must never return to an older configuration or report a revision whose
+    changes it has missed.  While it can reach the store, it must apply each change in
+    time.
     """
 
-    async def story(fleet: Fleet) -> None:
-        draw = fleet.draw
+    async def scenario(fleet: Fleet) -> None:
+        rng = fleet.rng
         for _ in range(12):
-            end = _disturb(fleet)
-            until = anyio.current_time() + draw.uniform(0.2, 5.0)
-            while anyio.current_time() < until:
-                key = draw.choice(["op/config", "servers/1", "servers/2"])
-                fleet.store.change(key, draw.choice([b"new", b"newer", None]))
-                await anyio.sleep(draw.uniform(0.05, 0.8))
-            end()
-            await anyio.sleep(draw.uniform(0.0, 4.0))
+            end_fault = _start_random_fault(fleet)
+            ends_at = anyio.current_time() + rng.uniform(0.2, 5.0)
+            while anyio.current_time() < ends_at:
+                key = rng.choice(["op/config", "servers/1", "servers/2"])
+                fleet.store.change(key, rng.choice([b"new", b"newer", None]))
+                await anyio.sleep(rng.uniform(0.05, 0.8))
+            end_fault()
+            await anyio.sleep(rng.uniform(0.0, 4.0))
         await anyio.sleep(CONTACT_S + 2.0)
-        before = fleet.store.calls
+        before = fleet.store.call_count
         await anyio.sleep(4.0)
         for process in fleet.processes:
             assert process.mirror.revision == fleet.store.revision
-        # Two that watch, two calls a second each, and one that is just due.
-        assert fleet.store.calls - before <= 2 * (8 + 1)
+        # Two watchers with two calls per second each, and one more call that is due.
+        assert fleet.store.call_count - before <= 2 * (8 + 1)
 
-    play(story, seed=seed)
+    run_scenario(scenario, seed=seed)
 
 
 @pytest.mark.parametrize("tenths", range(60, 70))
-def test_a_start_while_the_store_is_silent_does_not_delay_changes(tenths: int) -> None:
-    """Guards against a reading begun in an outage that outlives it by too long."""
+def test_a_start_while_the_store_is_unresponsive_delays_no_changes(tenths: int) -> None:
+    """Guards against a read, begun during an outage, that waits too long after it."""
 
-    async def story(fleet: Fleet) -> None:
-        fleet.store.fall_silent()
+    async def scenario(fleet: Fleet) -> None:
+        fleet.store.become_unresponsive()
         await anyio.sleep(1.0)
         for process in fleet.processes:
             process.kill()
         await anyio.sleep(tenths / 10 - 1.0)
-        fleet.store.silent = False
+        fleet.store.is_unresponsive = False
         for process in fleet.processes:
-            process.disturbed()
+            process.record_disturbance()
         fleet.store.change("op/config", b"second")
         await anyio.sleep(CONTACT_S + 2.0)
 
-    play(story)
+    run_scenario(scenario)
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file: what is read, and what a wrong field says."""
+"""The platform's settings file: decoding, and errors for invalid fields."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from wisteriastair.nodeoptions import BadNodeSetting, NodeOptions
 from wisteriastair.platform.settings import load_settings
 
-GOOD = """
+VALID = """
 nodeName = "front-1"
 ip = "10.1.0.1"
 zone = "z1"
@@ -38,8 +38,8 @@
     return load_settings(str(path))
 
 
-def test_good_file(tmp_path: Path) -> None:
-    cfg = load(tmp_path, GOOD)
+def test_valid_file(tmp_path: Path) -> None:
+    cfg = load(tmp_path, VALID)
     assert isinstance(cfg, NodeOptions)
     assert cfg.internal == "10.1.0.1:7380"
     assert cfg.memory_bytes == 150 * 1024 * 1024
@@ -63,13 +63,13 @@
         ("graceS = 8", "graceS = 8\ncontactMs = 0", "bounds.contactMs"),
     ],
 )
-def test_wrong_field_is_named(tmp_path: Path, old: str, new: str, field: str) -> None:
-    bad = load(tmp_path, GOOD.replace(old, new))
+def test_invalid_field_is_named(tmp_path: Path, old: str, new: str, field: str) -> None:
+    bad = load(tmp_path, VALID.replace(old, new))
     assert isinstance(bad, BadNodeSetting)
     assert field in str(bad)
 
 
-def test_missing_file_and_no_toml(tmp_path: Path) -> None:
+def test_missing_file_and_invalid_toml(tmp_path: Path) -> None:
     assert isinstance(load_settings(""), BadNodeSetting)
     assert isinstance(load_settings(str(tmp_path / "none")), BadNodeSetting)
     assert isinstance(load(tmp_path, "= ="), BadNodeSetting)
