--- a/tests/http1/test_caller.py
+++ b/tests/http1/test_caller.py
@@ -42,12 +42,12 @@
 
 
 @pytest.mark.parametrize(
-    "first, then",
+    "first_headers, later_data",
     [("Connection: close\r\n", PIPELINED.format(id="b", more="")), ("", "?!\r\n\r\n")],
     ids=["ended", "no-request"],
 )
 def test_data_after_a_last_request_closes_no_other_connection(
-    first: str, later_data: str
+    first_headers: str, later_data: str
 ) -> None:
     """All callers lose their connections when one sends data after its request.
 
@@ -64,7 +64,7 @@
         other = await at.open()
         await other.send("unsafe", "other")
         caller = await at.open()
-        await caller.raw(PIPELINED.format(id="a", more=first) + later_data)
+        await caller.raw(PIPELINED.format(id="a", more=first_headers) + later_data)
         reply = await caller.read()
         assert (reply.status, reply.body) == (200, b"fine")
         reply = await other.read()
@@ -131,7 +131,7 @@
 
 
 @pytest.mark.parametrize(
-    "sent",
+    "sent_data",
     [
         PIPELINED.format(id="a", more="").encode(),
         b"POST /unsafe/x HTTP/1.1\r\nHost: h\r\nContent-Length: 999999999\r\n\r\n",
--- a/tests/platform/test_credentials.py
+++ b/tests/platform/test_credentials.py
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize(
-    ("tenant", "named"),
+    ("tenant", "problem_name"),
     [
         ({"name": "bad", "apiKeys": ["k"], "ratePerS": -1}, "bad"),
         ({"name": "bad", "apiKeys": ["k", "k"]}, "bad"),
