--- a/tests/http1/test_caller.py
+++ b/tests/http1/test_caller.py
@@ -33,9 +33,9 @@
     """
     server = ScriptedServer("s1", answer_ok)
 
-    async def scenario(at: RelayHarness) -> None:
-        at.handler.shutdown = Shutdown(asyncio.get_running_loop().time(), 8.0)
-        caller = await at.open()
+    async def scenario(harness: RelayHarness) -> None:
+        harness.handler.shutdown = Shutdown(asyncio.get_running_loop().time(), 8.0)
+        caller = await harness.open()
         names = ("a", "b", "c")
         await caller.send_raw("".join(PIPELINED.format(id=n, more="") for n in names))
         reply = await caller.read()
@@ -64,21 +64,21 @@
     that ended the process.
     """
 
-    async def slow(exchange: Exchange) -> None:
+    async def answer_late(exchange: Exchange) -> None:
         await anyio.sleep(0.3 if exchange.header("X-Request-Id") == "other" else 0.0)
         await exchange.answer("fine")
 
-    async def scenario(at: RelayHarness) -> None:
-        other = await at.open()
+    async def scenario(harness: RelayHarness) -> None:
+        other = await harness.open()
         await other.send("unsafe", "other")
-        caller = await at.open()
+        caller = await harness.open()
         await caller.send_raw(PIPELINED.format(id="a", more=first_headers) + later_data)
         reply = await caller.read()
         assert (reply.status, reply.body) == (200, b"fine")
         reply = await other.read()
         assert (reply.status, reply.body) == (200, b"fine")
 
-    run_scenario([ScriptedServer("s1", slow)], scenario)
+    run_scenario([ScriptedServer("s1", answer_late)], scenario)
 
 
 def test_a_request_is_not_aborted_because_of_later_data() -> None:
@@ -89,29 +89,29 @@
     against closing one that still waits for an earlier response.
     """
 
-    async def slow(exchange: Exchange) -> None:
+    async def answer_late(exchange: Exchange) -> None:
         await anyio.sleep(0.4)
         await exchange.answer("fine")
 
-    async def scenario(at: RelayHarness) -> None:
-        caller = await at.open()
+    async def scenario(harness: RelayHarness) -> None:
+        caller = await harness.open()
         await caller.send_raw(PIPELINED.format(id="a", more="") + "?!\r\n\r\n")
         await anyio.sleep(0.2)
-        for caller_conn in at.caller_conns:
+        for caller_conn in harness.caller_conns:
             caller_conn.enforce_timeouts(
                 asyncio.get_running_loop().time() + LINGER_TIMEOUT_S
             )
         reply = await caller.read()
         assert (reply.status, reply.body) == (200, b"fine")
 
-    run_scenario([ScriptedServer("s1", slow)], scenario)
+    run_scenario([ScriptedServer("s1", answer_late)], scenario)
 
 
 SMALL_BUFFER_BYTES = 16 * 1024
 LONG_RESPONSE = "y" * 400_000
 
 
-async def send_and_read_late(at: RelayHarness, sent_data: bytes) -> bytes:
+async def send_and_read_late(harness: RelayHarness, sent_data: bytes) -> bytes:
     """Send a request that closes the connection, then more data, and read late.
 
     The relay is stopping meanwhile.
@@ -125,19 +125,19 @@
     with socket.socket() as caller:
         caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
         caller.setblocking(False)
-        await loop.sock_connect(caller, ("127.0.0.1", at.port))
+        await loop.sock_connect(caller, ("127.0.0.1", harness.port))
         await loop.sock_sendall(caller, sent_data)
-        answer = b""
+        response = b""
         for _ in range(12):
             await anyio.sleep(0.05)
             with contextlib.suppress(OSError):
                 await loop.sock_sendall(caller, b"x" * 1024)
-            for caller_conn in list(at.caller_conns):
+            for caller_conn in list(harness.caller_conns):
                 caller_conn.close_if_idle()
         with contextlib.suppress(ConnectionResetError):
             while data := await loop.sock_recv(caller, 1 << 16):
-                answer += data
-        return answer
+                response += data
+        return response
 
 
 @pytest.mark.parametrize(
@@ -163,10 +163,10 @@
     async def send_long_response(exchange: Exchange) -> None:
         await exchange.answer(LONG_RESPONSE)
 
-    async def scenario(at: RelayHarness) -> None:
-        at.handler.shutdown = Shutdown(asyncio.get_running_loop().time(), 8.0)
-        answer = await send_and_read_late(at, sent_data)
-        head, _, body = answer.partition(b"\r\n\r\n")
+    async def scenario(harness: RelayHarness) -> None:
+        harness.handler.shutdown = Shutdown(asyncio.get_running_loop().time(), 8.0)
+        response = await send_and_read_late(harness, sent_data)
+        head, _, body = response.partition(b"\r\n\r\n")
         length = int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0])
         assert len(body) == length
 
--- a/tests/peers/__init__.py
+++ b/tests/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the transport between our processes."""
+"""Tests of the transport between the system's processes."""
--- a/tests/peers/test_transport.py
+++ b/tests/peers/test_transport.py
@@ -203,7 +203,7 @@
 
     The keeper's own connection to the relay is half-open: responses are lost, and
     callers are rejected.  Each request repeats the last acknowledgement from before the
-    partition.  Guards against taking it for a new one, which kept the keeper from
+    partition.  Guards against treating it as a new one, which kept the keeper from
     replacing the connection.
     """
     assert anyio.run(measure_reply_delay) < 1.5
--- a/tests/platform/fleet_of_mirrors.py
+++ b/tests/platform/fleet_of_mirrors.py
@@ -3,7 +3,7 @@
 Each process is the real `Mirror` with its subscription; the store and the network are
 models.  The checks are that no process returns to an older state of a key, that none
 misses a change up to its own revision, and that each process that has reached the store
-for `CONTACT_S` applies every change within `BOUND_S`.
+for `CONTACT_S` applies every change within `CHANGE_DEADLINE_S`.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 
 # Shortest time that a deployment allows for a change to be in force, and the time for
 # which a process must have reached the store before this applies to it, in seconds.
-BOUND_S: Final = 2.0
+CHANGE_DEADLINE_S: Final = 2.0
 CONTACT_S: Final = 3.0
-LOSSES: Final = 1
-CALL_S: Final = 0.004
-TICK_S: Final = 0.1
-CHECK_S: Final = 0.05
+MAX_FAILURES: Final = 1
+CALL_DURATION_S: Final = 0.004
+TICK_INTERVAL_S: Final = 0.1
+CHECK_INTERVAL_S: Final = 0.05
 
 
 class StoreModel:
@@ -85,13 +85,13 @@
     ) -> Changes | HistoryExpired | StoreError:
         if after < self.oldest_revision:
             return HistoryExpired()
-        cut = self._watches_cut
+        watches_cut = self._watches_cut
         with anyio.move_on_after(wait_s):
-            while self.revision <= after and not cut.is_set():
+            while self.revision <= after and not watches_cut.is_set():
                 async with anyio.create_task_group() as group:
                     group.start_soon(_cancel_on_event, self._changed, group)
-                    group.start_soon(_cancel_on_event, cut, group)
-        if cut.is_set():
+                    group.start_soon(_cancel_on_event, watches_cut, group)
+        if watches_cut.is_set():
             return StoreError("connection reset", False)
         items = tuple(i for i in self.history if i.revision > after)
         return Changes(self.revision, items)
@@ -128,7 +128,7 @@
         self.applied = {}
         self.subscribers = Subscribers()
         self.subscription = make_subscription(
-            self.address, self.domain, LOSSES, BOUND_S
+            self.address, self.domain, MAX_FAILURES, CHANGE_DEADLINE_S
         )
         self.subscription.set_view(self._fleet.view, anyio.current_time())
         self.mirror = Mirror(
@@ -136,7 +136,7 @@
             self._apply,
             lambda present: None,
             subscription=self.subscription,
-            on_update=self._tell,
+            on_update=self._publish,
             has_subscribers=lambda: self.subscribers.has_active(anyio.current_time()),
         )
 
@@ -155,7 +155,7 @@
             return True
         return known is not None and known.revision >= item.revision
 
-    def _tell(self, store_update: StoreUpdate) -> None:
+    def _publish(self, store_update: StoreUpdate) -> None:
         for to, message in self.subscribers.make_updates(
             store_update, anyio.current_time()
         ):
@@ -195,11 +195,11 @@
     async def _tick(self) -> None:
         while True:
             if not self.frozen:
-                for to, wish in self.subscription.due_subscriptions(
+                for to, subscription_message in self.subscription.due_subscriptions(
                     anyio.current_time()
                 ):
-                    self._fleet.send(self, to, wish)
-            await anyio.sleep(TICK_S)
+                    self._fleet.send(self, to, subscription_message)
+            await anyio.sleep(TICK_INTERVAL_S)
 
     def unfreeze(self) -> None:
         self.frozen = False
@@ -227,7 +227,7 @@
         if self._process.cut_store:
             await anyio.sleep(limit_s)
             return StoreError("no answer", False)
-        await anyio.sleep(CALL_S)
+        await anyio.sleep(CALL_DURATION_S)
         if self._model.down or self._process.busy_store:
             return StoreError("status 503", True)
         return None
@@ -240,7 +240,7 @@
             await anyio.sleep(self.times.call_timeout_s)
             return StoreError("no answer", False)
         snapshot = Snapshot(self._model.revision, tuple(self._model.items.values()))
-        await anyio.sleep(CALL_S)
+        await anyio.sleep(CALL_DURATION_S)
         await self._process.wait_until_unfrozen()
         return snapshot
 
@@ -257,7 +257,7 @@
             if self._model.is_unresponsive or self._model.outage_count > outage_count:
                 await anyio.sleep_forever()
             response = changes
-            await anyio.sleep(CALL_S)
+            await anyio.sleep(CALL_DURATION_S)
             while self._process.cut_store:
                 await anyio.sleep(0.05)
         # A frozen process reads a pending response when it resumes.
@@ -296,8 +296,8 @@
 
     def send(self, sender: Process, to: str, message: LedgerMessage) -> None:
         target = self._by_address[to.partition("#")[0]]
-        lost = self.loses_messages and self.rng.random() < 0.3
-        if sender.drops_sent or target.drops_received or lost:
+        is_lost = self.loses_messages and self.rng.random() < 0.3
+        if sender.drops_sent or target.drops_received or is_lost:
             return
         deliver = partial(self._deliver, sender.member, target, to, message)
         if sender.frozen:
@@ -324,7 +324,7 @@
 
     async def _check(self) -> None:
         while True:
-            await anyio.sleep(CHECK_S)
+            await anyio.sleep(CHECK_INTERVAL_S)
             for process in self.processes:
                 self._check_process(process)
 
@@ -347,5 +347,7 @@
         for item in newest.values():
             if not process.knows(item):
                 age = now - self.store.changed_at[item.revision]
-                assert age <= BOUND_S, f"{process.member} lacks {item} for {age:.2f} s"
+                assert age <= CHANGE_DEADLINE_S, (
+                    f"{process.member} lacks {item} for {age:.2f} s"
+                )
                 self.max_delay_s = max(self.max_delay_s, age)
--- a/tests/platform/test_mirror.py
+++ b/tests/platform/test_mirror.py
@@ -35,7 +35,7 @@
         else:
             self.values[item.key] = item.value
 
-    def on_full_read(self, present: set[str]) -> None:
+    def on_full_read(self, existing_keys: set[str]) -> None:
         self.full_reads += 1
 
 
@@ -75,9 +75,9 @@
         standin.put("servers/9", b"good")
         await wait_until(lambda: "servers/9" in recorder.values)
         assert recorder.values["servers/odd"] == b"*no base64*"
-        on_full_read = await store.list_all("")
-        assert not isinstance(on_full_read, StoreError)
-        assert len(on_full_read.items) == 7
+        snapshot = await store.list_all("")
+        assert not isinstance(snapshot, StoreError)
+        assert len(snapshot.items) == 7
 
     run_scenario(scenario)
 
--- a/tests/platform/test_mirror_overlaps.py
+++ b/tests/platform/test_mirror_overlaps.py
@@ -175,17 +175,17 @@
 # Seeds 410, 484 and 492 fail if call timeouts are not derived from the bound.
 @pytest.mark.parametrize("seed", [*range(400, 412), 484, 492])
 def test_no_change_is_late_while_faults_overlap(seed: int) -> None:
-    """Guards against a wait that is too long only in sequence with another."""
+    """Guards against waits that are short enough alone but too long in sequence."""
 
     async def scenario(fleet: Fleet) -> None:
         faults = Faults(fleet)
-        async with anyio.create_task_group() as changes:
-            changes.start_soon(partial(_change_keys, fleet))
+        async with anyio.create_task_group() as change_group:
+            change_group.start_soon(partial(_change_keys, fleet))
             async with anyio.create_task_group() as fault_group:
                 for _ in range(3):
                     fault_group.start_soon(_inject_faults, faults, 5)
             await anyio.sleep(CONTACT_S + 2.0)
-            changes.cancel_scope.cancel()
+            change_group.cancel_scope.cancel()
         await anyio.sleep(CONTACT_S)
         for process in fleet.processes:
             assert process.mirror.revision == fleet.store.revision
--- a/tests/platform/test_mirror_watchers.py
+++ b/tests/platform/test_mirror_watchers.py
@@ -49,8 +49,8 @@
 def test_calls_do_not_grow_with_processes(relays: int) -> None:
     """Guards against as many calls for each change as there are processes.
 
-    With 84 processes that made 7,093 calls on a quiet day.  Only watchers make calls:
-    each waits at most a quarter of the bound and gets one response for each change.
+    With 84 processes, a quiet day took 7,093 calls.  Only watchers make calls: each
+    waits at most a quarter of the bound and gets one response for each change.
     """
 
     async def scenario(fleet: Fleet) -> None:
@@ -122,10 +122,10 @@
 
 
 def test_watchers_report_that_they_lost_the_store() -> None:
-    """The store is unreachable for all processes; a relay must not report to know it.
+    """No process can reach the store; a relay must not report the store as reachable.
 
-    The relay must learn it from the watchers, not only from missing updates, and must
-    count as connected again as soon as the watchers do.
+    The relay must learn this from the watchers, not only from missing updates, and must
+    report the store as reachable again as soon as the watchers do.
     """
 
     async def scenario(fleet: Fleet) -> None:
--- a/wisteriastair/http1/caller.py
+++ b/wisteriastair/http1/caller.py
@@ -175,8 +175,7 @@
         """Close the connection if it has no request.
 
         After the last response, `enforce_timeouts` closes it instead.  Closing it while
-        the
-        caller still sends would reset it, and the response could be lost.
+        the caller still sends would reset it, and the response could be lost.
         """
         if self._finishing or self.busy or self._queue or self._request_started:
             return
--- a/wisteriastair/http1/server.py
+++ b/wisteriastair/http1/server.py
@@ -119,7 +119,7 @@
         # Seconds after which the server closes an idle connection; None if unknown.
         self.keep_alive_s: float | None = None
         self.request_count = 0
-        self._on_stray = on_unexpected_data
+        self._on_unexpected_data = on_unexpected_data
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport
         self._parser = httptools.HttpResponseParser(self)
@@ -133,7 +133,7 @@
         self._transport = transport
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """ExchangeEnd the current exchange, whose response is incomplete."""
+        """End the current exchange, whose response is incomplete."""
         self.closed = True
         if self._exchange is not None:
             reason = "channel closed" if exc is None else f"channel lost: {exc!r}"
@@ -168,7 +168,7 @@
         self._transport.write(data)
 
     def release(self, now: float) -> bool:
-        """ExchangeEnd the exchange; return whether the connection can be reused.
+        """End the exchange; return whether the connection can be reused.
 
         If the request body is not fully written when the response is complete, the
         connection is closed, since the rest of the body would be mixed with the next
@@ -206,7 +206,7 @@
 
     def _reject_unexpected_data(self) -> None:
         self._is_reusable = False
-        self._on_stray()
+        self._on_unexpected_data()
         self.close()
 
     # Parser
@@ -222,7 +222,7 @@
         self._reset_message()
         if self._exchange is None or self._exchange.end is not None:
             self._is_reusable = False
-            self._on_stray()
+            self._on_unexpected_data()
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Store a header."""
@@ -230,18 +230,18 @@
             self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Set the head, unless it is interim or belongs to another request."""
+        """Store the head, unless it is interim or belongs to another request."""
         self._head_complete = True
         exchange = self._exchange
         status = self._parser.get_status_code()
         if exchange is None or exchange.end is not None or status < FIRST_FINAL_STATUS:
             self._is_skipped = True
             return
-        echoed = header(self._headers, b"x-request-id")
-        if echoed and echoed != exchange.request_id:
+        echoed_id = header(self._headers, b"x-request-id")
+        if echoed_id and echoed_id != exchange.request_id:
             self._is_skipped = True
             self._is_reusable = False
-            self._on_stray()
+            self._on_unexpected_data()
             return
         self._ends_at_close = _ends_at_connection_close(self._headers, status)
         if self._ends_at_close or not self._parser.should_keep_alive():
@@ -259,7 +259,7 @@
             self._exchange.receive_body(body)
 
     def on_message_complete(self) -> None:
-        """ExchangeEnd the response."""
+        """End the response."""
         if not self._is_skipped and self._exchange is not None:
             self._exchange.finish(ExchangeEnd(ExchangeOutcome.COMPLETE))
 
@@ -272,5 +272,5 @@
 
 def _ends_at_connection_close(headers: Headers, status: int) -> bool:
     names = {name.lower() for name, _ in headers}
-    framed = b"content-length" in names or b"transfer-encoding" in names
-    return not framed and status not in NO_BODY_STATUSES
+    is_framed = b"content-length" in names or b"transfer-encoding" in names
+    return not is_framed and status not in NO_BODY_STATUSES
--- a/wisteriastair/peers/frames.py
+++ b/wisteriastair/peers/frames.py
@@ -23,7 +23,7 @@
 LENGTH_PREFIX: Final = struct.Struct("<I")
 MAX_FRAME_BYTES: Final = 64 * 1024 * 1024
 # Timeout of a connection attempt, after which a new one starts, in seconds.  TCP itself
-# retries after 1, 3 and 7 s, and would reach a peer late that has come back.
+# retries after 1, 3 and 7 s, and would be late to reach a peer that has come back.
 CONNECT_TIMEOUT_S: Final = 0.5
 # Pause after an attempt that failed at once, in seconds; it doubles up to the maximum.
 RETRY_DELAY_S: Final = 0.05
@@ -38,7 +38,7 @@
 
     Parameters
     ----------
-    take : callable
+    on_frame : callable
         Called with each frame.
     open_readers : set
         Set to which the reader is added while its connection is open.
@@ -70,7 +70,7 @@
         while len(self._buffer) - position >= LENGTH_PREFIX.size:
             (length,) = LENGTH_PREFIX.unpack_from(self._buffer, position)
             if length > MAX_FRAME_BYTES:
-                # The peer does not send frames: the bytes would never arrive.
+                # The peer does not send frames: the missing bytes would never arrive.
                 self._transport.abort()
                 return
             end = position + LENGTH_PREFIX.size + length
--- a/wisteriastair/platform/headers.py
+++ b/wisteriastair/platform/headers.py
@@ -100,7 +100,7 @@
         return InvalidHeader("a number", str(exc))
     try:
         prompt, output = _parse_token_usage(values.get(b"x-token-usage", ""))
-        parts = _parse_prompt_parts(values.get(b"x-prompt-prefix", ""))
+        parts = _parse_prompt_segments(values.get(b"x-prompt-prefix", ""))
     except ValueError as exc:
         return InvalidHeader("X-Token-Usage or X-Prompt-Prefix", str(exc))
     return CallerRequest(
@@ -163,7 +163,7 @@
     return _parse_token_count(prompt), _parse_token_count(output or "0")
 
 
-def _parse_prompt_parts(value: str) -> tuple[PromptSegment, ...]:
+def _parse_prompt_segments(value: str) -> tuple[PromptSegment, ...]:
     if not value:
         return ()
     pairs = (part.strip().partition(":") for part in value.split(","))
@@ -207,8 +207,8 @@
         and not (customer is not None and name.lower() == AUTHORIZATION)
         and not (last_event_id is not None and name.lower() == b"last-event-id")
     ]
-    left_ms = max(1, int(remaining_s * MS_PER_S))
-    headers.append((b"X-Deadline-Ms", str(left_ms).encode()))
+    remaining_ms = max(1, int(remaining_s * MS_PER_S))
+    headers.append((b"X-Deadline-Ms", str(remaining_ms).encode()))
     headers.append((b"X-Expect-Instance", server_id.encode()))
     if engine_priority is not None:
         headers.append((b"X-Request-Priority", str(engine_priority).encode()))
--- a/wisteriastair/platform/instances.py
+++ b/wisteriastair/platform/instances.py
@@ -38,7 +38,7 @@
 
 
 class HttpInstanceList(InstanceList):
-    """The instance list over HTTP."""
+    """Client of the instance list over HTTP."""
 
     def __init__(self, url: str) -> None:
         self._client = httpx.AsyncClient(base_url=url, timeout=CALL_TIMEOUT_S)
@@ -63,5 +63,5 @@
 
 
 def make_instance_list(url: str) -> InstanceList:
-    """Connect to the instance list at a URL."""
+    """Create a client of the instance list at a URL."""
     return HttpInstanceList(url)
--- a/wisteriastair/platform/kv.py
+++ b/wisteriastair/platform/kv.py
@@ -68,8 +68,8 @@
 _ITEMS_DECODER: Final = msgspec.json.Decoder(list[WatchedItem])
 
 
-class HttpKeyValue(KeyValueStore):
-    """The key-value service over HTTP."""
+class HttpKeyValueStore(KeyValueStore):
+    """Client of the key-value service over HTTP."""
 
     def __init__(self, url: str) -> None:
         self._client = httpx.AsyncClient(base_url=url, timeout=CALL_TIMEOUT_S)
@@ -125,5 +125,5 @@
 
 
 def make_key_value_store(url: str) -> KeyValueStore:
-    """Connect to the key-value service at a URL."""
-    return HttpKeyValue(url)
+    """Create a client of the key-value service at a URL."""
+    return HttpKeyValueStore(url)
--- a/wisteriastair/platform/mirror.py
+++ b/wisteriastair/platform/mirror.py
@@ -197,7 +197,7 @@
             return None
         return StoreUpdate(self.revision, self.revision)
 
-    # Own calls
+    # Calls to the store
 
     def _remaining_coverage_s(self) -> float:
         """Return the seconds for which no watch of this process is needed."""
@@ -238,28 +238,28 @@
         if snapshot.revision < self.revision:
             # Watchers have reported a newer revision meanwhile.
             return False
-        present = self._apply_snapshot(snapshot.revision, snapshot.items)
+        existing_keys = self._apply_snapshot(snapshot.revision, snapshot.items)
         self._advance(snapshot.revision)
-        self._on_full_read(present)
+        self._on_full_read(existing_keys)
         self.is_catching_up = False
         self._publish(StoreUpdate(snapshot.revision, snapshot.revision))
         return True
 
     def _apply_snapshot(self, revision: int, items: Iterable[StoreItem]) -> set[str]:
         """Replace all items as of a revision; return the keys that exist now."""
-        present = set()
+        existing_keys = set()
         for item in items:
-            present.add(item.key)
+            existing_keys.add(item.key)
             self._apply_item(item)
         for key, known_revision in list(self._known_revisions.items()):
-            if key in present:
+            if key in existing_keys:
                 continue
             if known_revision <= revision:
                 del self._known_revisions[key]
                 self._on_change(StoreItem(key, revision, None))
             else:
-                present.add(key)
-        return present
+                existing_keys.add(key)
+        return existing_keys
 
     async def _watch(self, wait_s: float) -> bool:
         base = self.revision
--- a/wisteriastair/platform/store.py
+++ b/wisteriastair/platform/store.py
@@ -261,7 +261,7 @@
 
 
 def _decode_value(value: object) -> bytes:
-    """Decode a base64 value; return other text unchanged, which decodes to nothing."""
+    """Decode a base64 value; return other text unchanged, as an invalid document."""
     text = str(value).encode()
     try:
         return b64decode(text, validate=True)
@@ -277,4 +277,4 @@
     try:
         return msgspec.json.decode(response.content, type=response_type)
     except msgspec.DecodeError as exc:
-        return StoreError(f"answer does not decode: {exc}", False)
+        return StoreError(f"response does not decode: {exc}", False)
