--- a/tests/http1/test_caller.py
+++ b/tests/http1/test_caller.py
@@ -1,4 +1,4 @@
-"""A caller's channel: what comes behind a request, and how a channel ends."""
+"""Connections of callers: data after a request, and how a connection closes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     run_scenario,
 )
 from wisteriastair.core.stopping import Shutdown
-from wisteriastair.http1.caller import LINGER_S
+from wisteriastair.http1.caller import LINGER_TIMEOUT_S
 
 PIPELINED = (
     "POST /unsafe/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: {id}\r\n"
@@ -25,18 +25,17 @@
 )
 
 
-def test_requests_behind_the_last_answer_of_a_channel_are_not_run() -> None:
-    """A caller has sent several requests at once when the process is told to stop.
+def test_requests_after_the_last_response_are_not_executed() -> None:
+    """A caller has pipelined several requests when the process starts to stop.
 
-    The first answer says that it is the channel's last one.  A request behind it that
-    went on to a server ran for nobody: its answer could not be written any more, and
-    the channel was reset.
+    The first response announces the close of the connection.  Guards against running a
+    later request: its response could not be sent, and the connection was reset.
     """
     server = ScriptedServer("s1", answer_ok)
 
-    async def story(at: RelayHarness) -> None:
-        at.handler.shutdown = Shutdown(asyncio.get_running_loop().time(), 8.0)
-        caller = await at.open()
+    async def scenario(harness: RelayHarness) -> None:
+        harness.handler.shutdown = Shutdown(asyncio.get_running_loop().time(), 8.0)
+        caller = await harness.open()
         names = ("a", "b", "c")
         await caller.send_raw("".join(PIPELINED.format(id=n, more="") for n in names))
         reply = await caller.read()
@@ -47,97 +46,102 @@
             "a"
         ]
 
-    run_scenario([server], story)
+    run_scenario([server], scenario)
 
 
 @pytest.mark.parametrize(
-    "first, then",
+    "first_headers, later_data",
     [("Connection: close\r\n", PIPELINED.format(id="b", more="")), ("", "?!\r\n\r\n")],
     ids=["ended", "no-request"],
 )
-def test_bytes_behind_a_last_request_end_no_other_callers_channel(
-    first: str, then: str
+def test_data_after_a_last_request_closes_no_other_connection(
+    first_headers: str, later_data: str
 ) -> None:
-    """All callers of a relay lose their channels when one sends bytes behind a request.
+    """All callers lose their connections when one sends data after its request.
 
-    It had ended its channel with that request, or what follows is no request.  The
-    refusal of those bytes was written behind the end of the channel, which failed, and
-    the failure ended the process.
+    That request closes the connection, or the data is not a request.  Guards against
+    writing the rejection after the end of the connection, which raised an exception
+    that ended the process.
     """
 
-    async def slow(exchange: Exchange) -> None:
+    async def answer_late(exchange: Exchange) -> None:
         await anyio.sleep(0.3 if exchange.header("X-Request-Id") == "other" else 0.0)
         await exchange.answer("fine")
 
-    async def story(at: RelayHarness) -> None:
-        other = await at.open()
+    async def scenario(harness: RelayHarness) -> None:
+        other = await harness.open()
         await other.send("unsafe", "other")
-        caller = await at.open()
-        await caller.send_raw(PIPELINED.format(id="a", more=first) + then)
+        caller = await harness.open()
+        await caller.send_raw(PIPELINED.format(id="a", more=first_headers) + later_data)
         reply = await caller.read()
         assert (reply.status, reply.body) == (200, b"fine")
         reply = await other.read()
         assert (reply.status, reply.body) == (200, b"fine")
 
-    run_scenario([ScriptedServer("s1", slow)], story)
+    run_scenario([ScriptedServer("s1", answer_late)], scenario)
 
 
-def test_a_request_is_not_broken_off_for_what_follows_it() -> None:
-    """A caller's request is cut off a second after it sent bytes that are no request.
+def test_a_request_is_not_aborted_because_of_later_data() -> None:
+    """A caller's request is aborted a second after the caller sent invalid data.
 
-    They came behind the request, on the same channel, while a server was at work on it.
-    Refused channels are closed after a moment; this one had its answer to come.
+    The data follows the request on the same connection while a server processes the
+    request.  Connections with a rejected request are closed after a short time.  Guards
+    against closing one that still waits for an earlier response.
     """
 
-    async def slow(exchange: Exchange) -> None:
+    async def answer_late(exchange: Exchange) -> None:
         await anyio.sleep(0.4)
         await exchange.answer("fine")
 
-    async def story(at: RelayHarness) -> None:
-        caller = await at.open()
+    async def scenario(harness: RelayHarness) -> None:
+        caller = await harness.open()
         await caller.send_raw(PIPELINED.format(id="a", more="") + "?!\r\n\r\n")
         await anyio.sleep(0.2)
-        for caller_conn in at.caller_conns:
-            caller_conn.enforce_timeouts(asyncio.get_running_loop().time() + LINGER_S)
+        for caller_conn in harness.caller_conns:
+            caller_conn.enforce_timeouts(
+                asyncio.get_running_loop().time() + LINGER_TIMEOUT_S
+            )
         reply = await caller.read()
         assert (reply.status, reply.body) == (200, b"fine")
 
-    run_scenario([ScriptedServer("s1", slow)], story)
+    run_scenario([ScriptedServer("s1", answer_late)], scenario)
 
 
-SMALL_BUFFER = 16 * 1024
-LONG_ANSWER = "y" * 400_000
+SMALL_BUFFER_BYTES = 16 * 1024
+LONG_RESPONSE = "y" * 400_000
 
 
-async def call_slowly(at: RelayHarness, sent: bytes) -> bytes:
-    """Send a request that ends its channel, then more; read late, while it stops.
+async def send_and_read_late(harness: RelayHarness, sent_data: bytes) -> bytes:
+    """Send a request that closes the connection, then more data, and read late.
+
+    The relay is stopping meanwhile.
 
     Returns
     -------
     bytes
-        What the caller read until its channel ended.
+        Data that the caller received until the connection closed.
     """
     loop = asyncio.get_running_loop()
     with socket.socket() as caller:
-        caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
+        caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
         caller.setblocking(False)
-        await loop.sock_connect(caller, ("127.0.0.1", at.port))
-        await loop.sock_sendall(caller, sent)
-        answer = b""
+        await loop.sock_connect(caller, ("127.0.0.1", harness.port))
+        await loop.sock_sendall(caller, sent_data)
+        response = b""
         for _ in range(12):
             await anyio.sleep(0.05)
             with contextlib.suppress(OSError):
                 await loop.sock_sendall(caller, b"x" * 1024)
-            for caller_conn in list(at.caller_conns):
+            for caller_conn in list(harness.caller_conns):
                 caller_conn.close_if_idle()
         with contextlib.suppress(ConnectionResetError):
             while data := await loop.sock_recv(caller, 1 << 16):
-                answer += data
-        return answer
+                response += data
+        return response
 
 
 @pytest.mark.parametrize(
-    "sent",
+    "sent_data",
     [
         PIPELINED.format(id="a", more="").encode(),
         b"POST /unsafe/x HTTP/1.1\r\nHost: h\r\nContent-Length: 999999999\r\n\r\n",
@@ -146,22 +150,24 @@
     ],
     ids=["answered", "body", "headers", "no-request"],
 )
-def test_a_caller_that_still_sends_gets_its_last_answer_whole(sent: bytes) -> None:
-    """A caller loses the end of an answer, since its channel is closed beneath it.
+def test_a_caller_that_still_sends_gets_its_complete_last_response(
+    sent_data: bytes,
+) -> None:
+    """A caller loses the end of a response because the relay closes the connection.
 
-    The relay is stopping, and closes channels on which nothing is under way.  This one
-    has had its last answer, which the caller reads late, and the caller still sends:
-    closed with bytes unread, the channel is reset, and what was on its way is lost.
+    The relay is stopping and closes idle connections.  The caller reads its last
+    response late and still sends.  Closing with unread data resets the connection and
+    loses the rest of the response.
     """
 
-    async def long(exchange: Exchange) -> None:
-        await exchange.answer(LONG_ANSWER)
+    async def send_long_response(exchange: Exchange) -> None:
+        await exchange.answer(LONG_RESPONSE)
 
-    async def story(at: RelayHarness) -> None:
-        at.handler.shutdown = Shutdown(asyncio.get_running_loop().time(), 8.0)
-        answer = await call_slowly(at, sent)
-        head, _, body = answer.partition(b"\r\n\r\n")
+    async def scenario(harness: RelayHarness) -> None:
+        harness.handler.shutdown = Shutdown(asyncio.get_running_loop().time(), 8.0)
+        response = await send_and_read_late(harness, sent_data)
+        head, _, body = response.partition(b"\r\n\r\n")
         length = int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0])
         assert len(body) == length
 
-    run_scenario([ScriptedServer("s1", long)], story)
+    run_scenario([ScriptedServer("s1", send_long_response)], scenario)
