--- a/tests/core/bench.py
+++ b/tests/core/bench.py
@@ -102,8 +102,10 @@
 
     def choose_all() -> None:
         for prompt in prompts:
-            agreed = agreed_server(prompt, names)
-            want = Want("d1", prompt, frozenset(), 20.0, connected, agreed=agreed)
+            rendezvous_id = agreed_server(prompt, names)
+            want = Want(
+                "d1", prompt, frozenset(), 20.0, connected, rendezvous_id=rendezvous_id
+            )
             choose(states, want, draw.randrange, 0.1)
 
     return median_us(choose_all, PROGRAMS)
--- a/tests/core/test_affinity.py
+++ b/tests/core/test_affinity.py
@@ -7,7 +7,7 @@
 from collections import OrderedDict
 from typing import Final, NamedTuple
 
-from wisteriastair.core.affinity import WINDOW_S, Beginnings
+from wisteriastair.core.affinity import ACTIVE_WINDOW_S, Beginnings
 from wisteriastair.core.choice import Want, choose
 from wisteriastair.core.fleet import Fleet, Load, Server
 
@@ -113,7 +113,7 @@
     for number in range(BEGINNINGS):
         beginnings.note(f"b{number}", TOKENS, 0.0)
     assert beginnings.homes("b0", servers)
-    beginnings.note("b0", TOKENS, WINDOW_S + 1.0)
+    beginnings.note("b0", TOKENS, ACTIVE_WINDOW_S + 1.0)
     assert beginnings.homes("b0", servers) == frozenset()
 
 
--- a/tests/core/test_choice.py
+++ b/tests/core/test_choice.py
@@ -33,7 +33,7 @@
 
 
 def replay(
-    *, per_s: float, work_s: float, slow: str = "", kilobytes: float = 0.0
+    *, per_s: float, work_s: float, slow: str = "", size_kb: float = 0.0
 ) -> Replay:
     """Play 20 s of requests against servers that report with their answers."""
     draw = random.Random(7)
@@ -54,7 +54,7 @@
             state.take_load(Load(running[name], 0, SLOTS), end)
             state.succeeded(work_s * (3 if name == slow else 1))
         relay = draw.randrange(RELAYS)
-        want = Want(f"d{relay % 3}", (), frozenset(), kilobytes, everyone)
+        want = Want(f"d{relay % 3}", (), frozenset(), size_kb, everyone)
         state_or_none = choose(
             fleets[relay].usable("svc", now), want, draw.randrange, now
         )
@@ -127,14 +127,18 @@
     fleet = many_servers(1_500)
     servers = fleet.usable("svc", 0.0)
     parts = (PromptPart("shared", 12_600), PromptPart("line", 1_000))
-    agreed = "s701"
+    rendezvous_id = "s701"
     for _ in range(50):
-        want = Want("d1", parts, frozenset(), 17.0, frozenset(), agreed=agreed)
+        want = Want(
+            "d1", parts, frozenset(), 17.0, frozenset(), rendezvous_id=rendezvous_id
+        )
         chosen = choose(servers, want, draw.randrange, 0.0)
-        assert chosen is not None and chosen.server.id == agreed
+        assert chosen is not None and chosen.server.id == rendezvous_id
     known(fleet, "s702").parts.note(parts)
     for _ in range(50):
-        want = Want("d1", parts, frozenset(), 17.0, frozenset(), agreed=agreed)
+        want = Want(
+            "d1", parts, frozenset(), 17.0, frozenset(), rendezvous_id=rendezvous_id
+        )
         chosen = choose(servers, want, draw.randrange, 0.0)
         assert chosen is not None and chosen.server.id == "s702"
     near = frozenset(f"s{n}.0" for n in range(1, 200, 5))
--- a/tests/core/test_fleet.py
+++ b/tests/core/test_fleet.py
@@ -4,9 +4,9 @@
 
 from wisteriastair.core.fleet import (
     FAILURES_TO_REST,
-    OTHERS_WEIGHT,
-    OWN_WEIGHT,
-    SERVERS_TO_SUSPECT,
+    MIN_SERVERS_FAST_EJECTION,
+    OTHER_REQUEST_WEIGHT,
+    OWN_REQUEST_WEIGHT,
     Fleet,
     Load,
     Server,
@@ -57,7 +57,7 @@
     assert under_test.put(first._replace(born=200)) == first._replace(draining=True)
     after = under_test.get("a")
     assert after is not None and after is not before
-    assert (after.load(10.1), after.open, after.rests_until) == (0.0, 0, 0.0)
+    assert (after.load(10.1), after.open, after.ejected_until) == (0.0, 0, 0.0)
     assert "prompt" not in after.parts and after.full_until == 0.0
     assert usable(under_test, 10.1) == {"a"}
 
@@ -135,7 +135,7 @@
 
     Each waited for three failures in a row of its own, and took seconds to get them.
     """
-    many = fleet(*(f"s{n}" for n in range(SERVERS_TO_SUSPECT)))
+    many = fleet(*(f"s{n}" for n in range(MIN_SERVERS_FAST_EJECTION)))
     few = fleet("s0", "s1")
     for under_test in (many, few):
         state = under_test.get("s0")
@@ -152,8 +152,8 @@
     assert state is not None
     state.open = 2
     state.take_load(Load(5, 1, 8), 10.0)
-    others = OTHERS_WEIGHT * 4
-    assert state.load(10.1) == 2 * OWN_WEIGHT + others
+    others = OTHER_REQUEST_WEIGHT * 4
+    assert state.load(10.1) == 2 * OWN_REQUEST_WEIGHT + others
     state.open = 5
-    assert state.load(10.1) == 5 * OWN_WEIGHT + others
-    assert state.load(12.0) == 5 * OWN_WEIGHT
+    assert state.load(10.1) == 5 * OWN_REQUEST_WEIGHT + others
+    assert state.load(12.0) == 5 * OWN_REQUEST_WEIGHT
--- a/tests/core/test_quota.py
+++ b/tests/core/test_quota.py
@@ -10,7 +10,7 @@
 from wisteriastair.core.membership import Member
 from wisteriastair.core.quota import (
     HANDOVER_S,
-    MOST_LISTS,
+    MAX_MEMBER_LISTS,
     Allowance,
     Answer,
     QuotaBounds,
@@ -124,8 +124,8 @@
     held = holder(QUOTA)
     other = Member("k9", "disk9", "k9:1", "d0")
     given = 0
-    calm = [10.0 + second for second in range(MOST_LISTS)]
-    times = [*calm, *(calm[-1] + 3.0 + tick * 0.05 for tick in range(MOST_LISTS))]
+    calm = [10.0 + second for second in range(MAX_MEMBER_LISTS)]
+    times = [*calm, *(calm[-1] + 3.0 + tick * 0.05 for tick in range(MAX_MEMBER_LISTS))]
     for number, now in enumerate(times):
         held.take_members((*MEMBERS, other) if number % 2 else MEMBERS, now)
         given += sum(granted(held, now, "p", starts=False) for _ in range(100))
@@ -202,13 +202,13 @@
 ) -> None:
     """Buckets that are full after a restart, or holders that begin full at once."""
 
-    class Full(quota_module._Account):
+    class Full(quota_module._CustomerAccount):
         def __init__(self, share: Allowance, since: float, now: float) -> None:
             super().__init__(share, since, now)
             if broken == "forgets" or since > 0.0:
                 self.permits.level = share.depth
 
-    monkeypatch.setattr(quota_module, "_Account", Full)
+    monkeypatch.setattr(quota_module, "_CustomerAccount", Full)
     if broken == "no wait":
         monkeypatch.setattr(quota_module, "HANDOVER_S", 0.0)
 
--- a/tests/core/test_reuse.py
+++ b/tests/core/test_reuse.py
@@ -11,7 +11,7 @@
 from wisteriastair.core.choice import Want, choose
 from wisteriastair.core.fleet import Fleet, Server
 from wisteriastair.core.reuse import (
-    MOST_PARTS,
+    MAX_SEGMENTS,
     KnownParts,
     PromptPart,
     agreed_server,
@@ -87,8 +87,10 @@
         connected = frozenset(
             f"{name}.0" for name, count in idle[program.relay].items() if count
         )
-        agreed = agreed_server(prompt, names) if agree else ""
-        want = Want("d", prompt, frozenset(), 20.0, connected, agreed=agreed)
+        rendezvous_id = agreed_server(prompt, names) if agree else ""
+        want = Want(
+            "d", prompt, frozenset(), 20.0, connected, rendezvous_id=rendezvous_id
+        )
         servers = fleets[program.relay].usable("svc", now)
         chosen = choose(servers, want, draw.randrange, now)
         assert chosen is not None
@@ -97,7 +99,7 @@
         chosen.open += 1
         served[name] += 1
         total = sum(part.tokens for part in prompt)
-        read += caches[name].lacking(prompt) * total
+        read += caches[name].missing_fraction(prompt) * total
         caches[name].note(prompt)
         end = now + work_s * draw.uniform(0.5, 1.5)
         heapq.heappush(events, (end, order, program, name))
@@ -115,33 +117,33 @@
     a server that has to read the whole prompt, while all that runs there waits.  About
     550 tokens a turn are new whatever is decided.
     """
-    agreed = replay(programs_per_s=programs_per_s, work_s=0.6, agree=True)
+    rendezvous_id = replay(programs_per_s=programs_per_s, work_s=0.6, agree=True)
     alone = replay(programs_per_s=programs_per_s, work_s=0.6, agree=False)
-    assert agreed.read < 0.85 * alone.read
-    assert agreed.read < 650
-    assert agreed.busiest < 1.2
+    assert rendezvous_id.read < 0.85 * alone.read
+    assert rendezvous_id.read < 650
+    assert rendezvous_id.busiest < 1.2
 
 
 def test_a_part_counts_only_behind_all_that_come_before_it() -> None:
     known = KnownParts()
     known.note([PromptPart("a", 300), PromptPart("b", 100)])
-    assert known.lacking((PromptPart("a", 300), PromptPart("b", 100))) == 0.0
-    assert known.lacking((PromptPart("a", 300), PromptPart("b", 400))) == pytest.approx(
-        300 / 700
-    )
-    assert known.lacking((PromptPart("x", 300), PromptPart("b", 100))) == 1.0
+    assert known.missing_fraction((PromptPart("a", 300), PromptPart("b", 100))) == 0.0
+    assert known.missing_fraction(
+        (PromptPart("a", 300), PromptPart("b", 400))
+    ) == pytest.approx(300 / 700)
+    assert known.missing_fraction((PromptPart("x", 300), PromptPart("b", 100))) == 1.0
     longer = (PromptPart("a", 600), PromptPart("b", 100))
-    assert known.lacking(longer) == pytest.approx(400 / 700)
-    assert known.lacking(()) == 0.0
+    assert known.missing_fraction(longer) == pytest.approx(400 / 700)
+    assert known.missing_fraction(()) == 0.0
 
 
 def test_what_was_read_longest_ago_is_forgotten_first() -> None:
     known = KnownParts()
     known.note([PromptPart("old", 1), PromptPart("kept", 1)])
-    for number in range(MOST_PARTS - 1):
+    for number in range(MAX_SEGMENTS - 1):
         known.note([PromptPart(f"p{number}", 1), PromptPart("kept", 1)])
     assert "kept" in known and "old" not in known
-    assert len(known) == MOST_PARTS
+    assert len(known) == MAX_SEGMENTS
 
 
 def test_a_server_that_goes_moves_only_its_own_programs() -> None:
--- a/tests/core/test_silence.py
+++ b/tests/core/test_silence.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from wisteriastair.core.silence import (
-    REPEAT_SHARE,
-    REPEATS_MOST,
-    SILENT_LEAST_S,
-    SILENT_TIMES,
+    MAX_RETRY_BUDGET,
+    MIN_TIMEOUT_S,
+    RETRY_FRACTION,
+    TIMEOUT_FACTOR,
     Silence,
 )
 
@@ -15,11 +15,11 @@
     silence = Silence()
     assert silence.limit_s("svc") is None, "nothing is usual yet"
     silence.answered("svc", 0.01)
-    assert silence.limit_s("svc") == SILENT_LEAST_S
+    assert silence.limit_s("svc") == MIN_TIMEOUT_S
     for _ in range(300):
         silence.answered("svc", 0.2)
     limit_s = silence.limit_s("svc")
-    assert limit_s is not None and limit_s > 0.9 * SILENT_TIMES * 0.2
+    assert limit_s is not None and limit_s > 0.9 * TIMEOUT_FACTOR * 0.2
     assert silence.limit_s("other") is None
 
 
@@ -37,4 +37,4 @@
         if silence.limit_s("svc") is not None:
             silence.repeated()
             repeated += 1
-    assert repeated <= 1_000 * REPEAT_SHARE + REPEATS_MOST
+    assert repeated <= 1_000 * RETRY_FRACTION + MAX_RETRY_BUDGET
--- a/tests/core/test_stopping.py
+++ b/tests/core/test_stopping.py
@@ -6,14 +6,14 @@
 
 from tests.relay.stand import route
 from wisteriastair.core.routes import CallerLimits, RequestKind, RouteTable
-from wisteriastair.core.stopping import MARGIN_S, NOTICE_S, Stop
+from wisteriastair.core.stopping import KILL_MARGIN_S, NOTICE_S, Stop
 
 
 @pytest.mark.parametrize("longest_s", [0.5, 2.0, 3.0, 4.5])
 def test_whatever_is_taken_can_use_all_of_its_time(longest_s: float) -> None:
     stop = Stop(100.0, 8.0)
     assert stop.last_call_at(longest_s) + longest_s <= stop.ends_at
-    assert stop.ends_at == 108.0 - MARGIN_S
+    assert stop.ends_at == 108.0 - KILL_MARGIN_S
 
 
 @pytest.mark.parametrize("longest_s", [5.0, 30.0])
--- a/tests/core/test_storetimes.py
+++ b/tests/core/test_storetimes.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from wisteriastair.core.storetimes import MARGIN_S, make_store_times
+from wisteriastair.core.storetimes import READ_MARGIN_S, make_store_times
 
 
 @pytest.mark.parametrize("contact_s", [2.5, 3.0, 4.0, 6.0])
@@ -12,7 +12,7 @@
     contact_s: float,
 ) -> None:
     times = make_store_times(contact_s)
-    limit_s = contact_s - MARGIN_S + 1e-9
+    limit_s = contact_s - READ_MARGIN_S + 1e-9
     assert times.call_s + times.pause_max_s <= limit_s
     assert times.watch_s + times.slack_s + times.pause_s <= limit_s
     assert times.retry_watch_s + times.slack_s + times.pause_max_s <= limit_s
--- a/tests/core/test_watchers.py
+++ b/tests/core/test_watchers.py
@@ -5,10 +5,10 @@
 from wisteriastair.core.ledgerwire import StoreNews, Subscribe
 from wisteriastair.core.membership import Member, View
 from wisteriastair.core.watchers import (
-    GRACE_S,
+    CHANGE_GRACE_S,
     LEASE_S,
+    MEMBERS_STABLE_S,
     RENEW_S,
-    SETTLE_S,
     Subscribers,
     Subscription,
     make_subscription,
@@ -100,9 +100,9 @@
     mine.holds(5, 0.0)
     mine.hear(chosen[0], news(5), 0.0)
     mine.hear(chosen[1], StoreNews(5, 6, None), 0.1)
-    assert mine.covered_until(0.2) == 0.1 + GRACE_S
+    assert mine.covered_until(0.2) == 0.1 + CHANGE_GRACE_S
     mine.holds(6, 0.2)
-    assert mine.covered_until(0.2) > 0.1 + GRACE_S
+    assert mine.covered_until(0.2) > 0.1 + CHANGE_GRACE_S
 
 
 def test_a_watcher_relies_on_nobody_and_strangers_do_not_count() -> None:
@@ -147,5 +147,5 @@
         for address in before:
             mine.hear(address, news(5), now)
         assert mine.covered_until(now) > now
-    mine.set_view(last, now + SETTLE_S)
-    assert {to for to, _ in mine.due(now + SETTLE_S)} == after
+    mine.set_view(last, now + MEMBERS_STABLE_S)
+    assert {to for to, _ in mine.due(now + MEMBERS_STABLE_S)} == after
--- a/wisteriastair/core/admission.py
+++ b/wisteriastair/core/admission.py
@@ -34,7 +34,7 @@
 RATE_WINDOW_S: Final = 10.0
 PLAIN_WALL_S: Final = 120.0
 PLAIN_TOOL_S: Final = 30.0
-SLOT_MOVES_S: Final = 0.5
+SLOT_MOVE_RETRY_S: Final = 0.5
 
 
 class Admission:
@@ -76,15 +76,15 @@
         self._max_wait_s = max_wait_s
         self._window_start = 0.0
         self._window_finished = 0
-        self._rate = 0.0
+        self._finish_rate_per_s = 0.0
 
     def on_start(self, sender: str, start: ProgramStart, now: float) -> None:
         """Start a program, or join the one that the same key started."""
-        if not self._is_here(sender, start.request, start.slot):
+        if not self._is_serving(sender, start.request, start.slot):
             return
         run = self._programs.by_name.get(start.program)
         if run is None:
-            failure = self._refusal(start, now)
+            failure = self._check_admission(start, now)
             if failure is not None:
                 self._fail(sender, start.request, start.program, failure)
                 return
@@ -93,21 +93,21 @@
             self._subscribe(sender, run, start.request, 0, 0, start.stream, now)
             self._carrier.start(run)
             return
-        failure = _mismatch(run, start)
+        failure = _check_key_reuse(run, start)
         if failure is not None:
             self._fail(sender, start.request, start.program, failure)
             return
         self._subscribe(sender, run, start.request, 0, 0, start.stream, now)
-        self._greet(sender, run, start.request)
+        self._send_state(sender, run, start.request)
 
-    def _is_here(self, sender: str, request: str, slot: int) -> bool:
+    def _is_serving(self, sender: str, request: str, slot: int) -> bool:
         if self._slots.is_open(slot):
             return True
         if self._slots.role(slot) is not Role.CARRIER:
             self._out.send(sender, NotCarrier(request, slot))
         return False
 
-    def _refusal(self, start: ProgramStart, now: float) -> Failure | None:
+    def _check_admission(self, start: ProgramStart, now: float) -> Failure | None:
         if start.slot in self._carrier.lost_slots:
             detail = "this key's earlier state was lost; a new key runs it for certain"
             return Failure(Code.OUTCOME_UNKNOWN, detail, "unknown")
@@ -118,17 +118,19 @@
         if failure is not None:
             return failure
         if not self._slots.may_append(start.slot):
-            return Failure(Code.NO_CARRIER, "the slot is moving", "no", SLOT_MOVES_S)
-        return self._overload(start, config, now)
+            return Failure(
+                Code.NO_CARRIER, "the slot is moving", "no", SLOT_MOVE_RETRY_S
+            )
+        return self._check_overload(start, config, now)
 
-    def _overload(
+    def _check_overload(
         self, start: ProgramStart, config: Config, now: float
     ) -> Failure | None:
         """Refuse what would only wait, so that what has begun can finish."""
         if self._programs.active >= self._max_active:
             self.refused += 1
             detail = f"{self._programs.active} programs under way here"
-            return Failure(Code.OVERLOADED, detail, "no", self._come_back_s())
+            return Failure(Code.OVERLOADED, detail, "no", self._retry_after_s())
         service = config.services.get(start.service)
         if start.operation or service is None or self._max_wait_s <= 0:
             return None
@@ -151,12 +153,12 @@
             return Failure(Code.NO_SERVER, detail, "no", 5.0)
         return None
 
-    def _come_back_s(self) -> float:
+    def _retry_after_s(self) -> float:
         """Seconds until a place is likely to be free, from the recent rate."""
         excess = max(1, self._programs.active - self._max_active + 1)
-        if self._rate <= 0:
+        if self._finish_rate_per_s <= 0:
             return 5.0
-        return min(60.0, max(0.5, excess / self._rate))
+        return min(60.0, max(0.5, excess / self._finish_rate_per_s))
 
     def _first_record(self, start: ProgramStart, now: float) -> ProgramStarted:
         if start.operation:
@@ -198,7 +200,7 @@
             known.number, known.offset = number, offset
         run.subscribe(known, now)
 
-    def _greet(self, sender: str, run: Running, request: str) -> None:
+    def _send_state(self, sender: str, run: Running, request: str) -> None:
         if run.program.ended is None:
             self._out.send(sender, run.pending(request))
         run.deliver(self._out)
@@ -217,13 +219,13 @@
             attach.stream,
             now,
         )
-        self._greet(sender, run, attach.request)
+        self._send_state(sender, run, attach.request)
 
     def _find(
         self, sender: str, message: ProgramAttach | ProgramCancel
     ) -> Running | None:
         """Return the customer's program; without one, the sender is told."""
-        if not self._is_here(sender, message.request, message.slot):
+        if not self._is_serving(sender, message.request, message.slot):
             return None
         run = self._programs.by_name.get(message.program)
         if run is None or run.program.start.customer != message.customer:
@@ -249,17 +251,17 @@
         if self._slots.may_append(cancel.slot):
             step = EndStep(Code.CANCELLED, "", "cancelled by its caller")
             self._carrier.end(run, step)
-        self._greet(sender, run, cancel.request)
+        self._send_state(sender, run, cancel.request)
 
-    def on_list(self, sender: str, question: ListPrograms, now: float) -> None:
+    def on_list(self, sender: str, query: ListPrograms, now: float) -> None:
         """List the programs carried here."""
         rows = [
             self._row(run, now)
             for _, run in sorted(self._programs.by_name.items())
-            if not question.customer or run.program.start.customer == question.customer
+            if not query.customer or run.program.start.customer == query.customer
         ]
-        limited = tuple(rows[: question.limit])
-        self._out.send(sender, ProgramList(question.request, limited))
+        limited = tuple(rows[: query.limit])
+        self._out.send(sender, ProgramList(query.request, limited))
 
     def _row(self, run: Running, now: float) -> ProgramRow:
         program = run.program
@@ -285,7 +287,7 @@
         """Measure how fast programs finish."""
         if now - self._window_start >= RATE_WINDOW_S:
             finished = self._carrier.finished - self._window_finished
-            self._rate = finished / RATE_WINDOW_S
+            self._finish_rate_per_s = finished / RATE_WINDOW_S
             self._window_start = now
             self._window_finished = self._carrier.finished
 
@@ -315,7 +317,7 @@
     return Failure(Code.UNKNOWN_SERVICE, f"no plain service '{start.service}'")
 
 
-def _mismatch(run: Running, start: ProgramStart) -> Failure | None:
+def _check_key_reuse(run: Running, start: ProgramStart) -> Failure | None:
     known = run.program.start
     same = (known.service, known.prompt) == (start.service, start.prompt)
     if same and known.customer == start.customer:
--- a/wisteriastair/core/affinity.py
+++ b/wisteriastair/core/affinity.py
@@ -22,21 +22,21 @@
 
 # A beginning that was not asked for in this time does not count, in seconds: several
 # times as long as a program pauses between two turns.
-WINDOW_S: Final = 10.0
+ACTIVE_WINDOW_S: Final = 10.0
 # Share of an engine's memory that beginnings may take.  The rest is for requests that
 # run and for what belongs to single programs, about half of it each.
-MEMORY_SHARE: Final = 0.35
+MEMORY_FRACTION: Final = 0.35
 # Homes that are kept for beginnings in use: many times as many as are in use at once.
-MOST_KEPT: Final = 4096
+MAX_CACHED_RESULTS: Final = 4096
 # The part of the servers that are homes is rounded to such steps, so that processes
 # that count a beginning more or less agree all the same.
-STEPS: Final = 20
+FRACTION_STEPS: Final = 20
 
 
-class _Seen(NamedTuple):
+class _PrefixUse(NamedTuple):
     """When a beginning was last asked for, and its size."""
 
-    at: float
+    last_used_at: float
     tokens: int
 
 
@@ -51,44 +51,44 @@
 
     def __init__(self, memory_tokens: int) -> None:
         self._memory_tokens = memory_tokens
-        self._seen: dict[str, _Seen] = {}
-        self._tokens = 0
+        self._uses: dict[str, _PrefixUse] = {}
+        self._active_tokens = 0
         # Homes worked out for the servers named last.
         self._servers: list[ServerState] = []
         self._ids: list[str] = []
         self._homes: dict[tuple[str, int], frozenset[str]] = {}
 
-    def note(self, beginning: str, tokens: int, now: float) -> None:
+    def note(self, prefix: str, tokens: int, now: float) -> None:
         """Note that a beginning is asked for."""
-        known = self._seen.pop(beginning, None)
-        self._tokens += tokens - (known.tokens if known else 0)
-        self._seen[beginning] = _Seen(now, tokens)
-        self._forget_before(now - WINDOW_S)
+        previous = self._uses.pop(prefix, None)
+        self._active_tokens += tokens - (previous.tokens if previous else 0)
+        self._uses[prefix] = _PrefixUse(now, tokens)
+        self._expire_before(now - ACTIVE_WINDOW_S)
 
-    def _forget_before(self, oldest: float) -> None:
+    def _expire_before(self, oldest: float) -> None:
         # The dictionary keeps the order: those not asked for longest come first.
-        for beginning, seen in list(self._seen.items()):
-            if seen.at >= oldest:
+        for prefix, use in list(self._uses.items()):
+            if use.last_used_at >= oldest:
                 return
-            del self._seen[beginning]
-            self._tokens -= seen.tokens
+            del self._uses[prefix]
+            self._active_tokens -= use.tokens
 
-    def homes(self, beginning: str, servers: list[ServerState]) -> frozenset[str]:
+    def homes(self, prefix: str, servers: list[ServerState]) -> frozenset[str]:
         """Ids of the servers that a beginning is led to; empty for no restriction."""
-        room = MEMORY_SHARE * self._memory_tokens
-        if room <= 0 or self._tokens <= room:
+        budget_tokens = MEMORY_FRACTION * self._memory_tokens
+        if budget_tokens <= 0 or self._active_tokens <= budget_tokens:
             return frozenset()
-        step = max(1, int(STEPS * room / self._tokens))
+        step = max(1, int(FRACTION_STEPS * budget_tokens / self._active_tokens))
         if servers is not self._servers:
-            self._note_servers(servers)
-        homes = self._homes.get((beginning, step))
+            self._update_servers(servers)
+        homes = self._homes.get((prefix, step))
         if homes is None:
-            if len(self._homes) >= MOST_KEPT:
+            if len(self._homes) >= MAX_CACHED_RESULTS:
                 self._homes.clear()
-            homes = self._homes[beginning, step] = _homes(beginning, servers, step)
+            homes = self._homes[prefix, step] = _homes(prefix, servers, step)
         return homes
 
-    def _note_servers(self, servers: list[ServerState]) -> None:
+    def _update_servers(self, servers: list[ServerState]) -> None:
         """Forget homes if the servers are others; the same list has not changed."""
         self._servers = servers
         ids = [state.server.id for state in servers]
@@ -97,12 +97,12 @@
             self._homes.clear()
 
 
-def _homes(beginning: str, states: list[ServerState], step: int) -> frozenset[str]:
+def _homes(prefix: str, states: list[ServerState], step: int) -> frozenset[str]:
     by_domain: dict[str, list[str]] = {}
     for state in states:
         by_domain.setdefault(state.server.domain, []).append(state.server.id)
     chosen: list[str] = []
     for servers in by_domain.values():
-        count = max(1, round(len(servers) * step / STEPS))
-        chosen += rank(f"beginning {beginning}", servers)[:count]
+        count = max(1, round(len(servers) * step / FRACTION_STEPS))
+        chosen += rank(f"beginning {prefix}", servers)[:count]
     return frozenset(chosen)
--- a/wisteriastair/core/balance.py
+++ b/wisteriastair/core/balance.py
@@ -17,15 +17,15 @@
 from .replica import NOBODY, Row
 from .slots import Slots
 
-BALANCE_S: Final = 1.0
+BALANCE_INTERVAL_S: Final = 1.0
 # Each look at a process outside the partners opens a connection, so it is rare.
-SAMPLE_S: Final = 3.0
-LEAD_GAP: Final = 2
-HOLD_GAP: Final = 3
-PLACE_DELAY_S: Final = 1.0
-PLACE_PATIENCE_S: Final = 5.0
-PLACE_QUIET_S: Final = 3.0
-LOST_S: Final = 6.0
+SAMPLE_INTERVAL_S: Final = 3.0
+MIN_PRIMARY_GAP: Final = 2
+MIN_REPLICA_GAP: Final = 3
+PLACE_INTERVAL_S: Final = 1.0
+MAX_MEMBER_WAIT_S: Final = 5.0
+LIST_STABLE_S: Final = 3.0
+ALL_DOWN_S: Final = 6.0
 
 
 class Balance:
@@ -49,26 +49,26 @@
         self._balance_at = 0.0
         self._sample_at = 0.0
         self._place_at = 0.0
-        self._place_since = 0.0
-        self._listed: list[str] = []
-        self._listed_at = 0.0
-        self._lost_since: dict[int, float] = {}
+        self._unplaced_since = 0.0
+        self._listed_addresses: list[str] = []
+        self._listed_since = 0.0
+        self._all_down_since: dict[int, float] = {}
 
     def tick(self, now: float) -> None:
         """Move or place, if it is time."""
         if self._peers.draining:
             return
         if now >= self._balance_at:
-            self._balance_at = now + BALANCE_S
-            self._even_leads()
+            self._balance_at = now + BALANCE_INTERVAL_S
+            self._balance_primaries()
         if now >= self._sample_at:
-            self._sample_at = now + SAMPLE_S
-            self._even_copies(now)
+            self._sample_at = now + SAMPLE_INTERVAL_S
+            self._balance_replicas(now)
         if now >= self._place_at:
-            self._place_at = now + PLACE_DELAY_S
+            self._place_at = now + PLACE_INTERVAL_S
             self._place_slots(now)
 
-    def _even_leads(self) -> None:
+    def _balance_primaries(self) -> None:
         """Hand one slot to a standby that leads clearly fewer.
 
         After a takeover one process leads all that its partner led; without this it
@@ -77,30 +77,30 @@
         carried = self._slots.carried()
         for number in carried:
             replica = self._slots.replica(number)
-            theirs = self._peers.leads_of(replica.peer)
-            if replica.learner != NOBODY or theirs is None:
+            peer_count = self._peers.leads_of(replica.peer)
+            if replica.learner != NOBODY or peer_count is None:
                 continue
-            if theirs + LEAD_GAP <= len(carried):
+            if peer_count + MIN_PRIMARY_GAP <= len(carried):
                 self._slots.hand_over(number)
                 return
 
-    def _even_copies(self, now: float) -> None:
+    def _balance_replicas(self, now: float) -> None:
         """Move copies to a process that holds clearly fewer than their standby.
 
         Processes that came after the slots were placed would otherwise stay empty.
         """
         member = self._peers.sample(now)
-        theirs = self._peers.held_of(member)
-        if theirs is None or not self._peers.is_elsewhere(member):
+        peer_count = self._peers.held_of(member)
+        if peer_count is None or not self._peers.is_elsewhere(member):
             return
         for number in self._slots.carried():
             replica = self._slots.replica(number)
             if replica.learner != NOBODY or replica.peer in (NOBODY, member):
                 continue
             standby = self._peers.held_of(replica.peer)
-            if standby is not None and theirs + HOLD_GAP <= standby:
+            if standby is not None and peer_count + MIN_REPLICA_GAP <= standby:
                 self._slots.copy_to(number, member, now)
-                theirs += HOLD_GAP
+                peer_count += MIN_REPLICA_GAP
 
     def _place_slots(self, now: float) -> None:
         """Place slots that have no row, or whose members are all gone.
@@ -110,29 +110,31 @@
         """
         sides = self._peers.sides()
         addresses = [i.address for i in sides]
-        own = address_of(self._me)
-        if own not in addresses or rank("place", addresses)[0] != own:
+        own_address = address_of(self._me)
+        if own_address not in addresses or rank("place", addresses)[0] != own_address:
             return
-        if addresses != self._listed:
+        if addresses != self._listed_addresses:
             # A fleet that is starting: what is placed now would have to move again.
-            self._listed = addresses
-            self._listed_at = now
-        if now - self._listed_at < PLACE_QUIET_S:
+            self._listed_addresses = addresses
+            self._listed_since = now
+        if now - self._listed_since < LIST_STABLE_S:
             return
-        wanted = [n for n in range(self._placement.slots) if self._unplaced(n, now)]
-        if not wanted:
-            self._place_since = 0.0
+        unplaced = [
+            n for n in range(self._placement.slots) if self._needs_placement(n, now)
+        ]
+        if not unplaced:
+            self._unplaced_since = 0.0
             return
-        self._place_since = self._place_since or now
+        self._unplaced_since = self._unplaced_since or now
         domains = {self._peers.member_at(i.address, now): i.domain for i in sides}
         domains.pop("", None)
-        domains[self._me] = next(i.domain for i in sides if i.address == own)
-        if len(domains) < len(sides) and now - self._place_since < PLACE_PATIENCE_S:
+        domains[self._me] = next(i.domain for i in sides if i.address == own_address)
+        if len(domains) < len(sides) and now - self._unplaced_since < MAX_MEMBER_WAIT_S:
             return
-        for number in wanted:
+        for number in unplaced:
             self._place(number, self._placement.rows.get(number), domains)
 
-    def _unplaced(self, number: int, now: float) -> bool:
+    def _needs_placement(self, number: int, now: float) -> bool:
         """Whether a slot has no members left.
 
         Being silent is no evidence: a region that is cut off keeps serving.  Only the
@@ -143,9 +145,9 @@
             return True
         members = (row.carrier, row.standby, row.former)
         if not all(self._peers.is_gone(m) for m in members if m != NOBODY):
-            self._lost_since.pop(number, None)
+            self._all_down_since.pop(number, None)
             return False
-        return now - self._lost_since.setdefault(number, now) > LOST_S
+        return now - self._all_down_since.setdefault(number, now) > ALL_DOWN_S
 
     def _place(self, number: int, row: Row | None, domains: dict[str, str]) -> None:
         ranked = rank(f"slot {number}", domains)
--- a/wisteriastair/core/customers.py
+++ b/wisteriastair/core/customers.py
@@ -74,20 +74,20 @@
     ) -> None:
         self.by_name: dict[str, Customer] = {}
         self._by_digest: dict[str, Customer] = {}
-        found = list(problems)
-        shared: set[str] = set()
+        all_problems = list(problems)
+        shared_digests: set[str] = set()
         for customer, digests in holders:
             self.by_name[customer.name] = customer
             for digest in digests:
                 holder = self._by_digest.setdefault(digest, customer)
                 if holder.name != customer.name:
                     # A request could run in the name of the wrong one: neither has it.
-                    shared.add(digest)
+                    shared_digests.add(digest)
                     reason = f"a key is held by {holder.name} too"
-                    found.append(CustomerProblem(customer.name, "keys", reason))
-        for digest in shared:
+                    all_problems.append(CustomerProblem(customer.name, "keys", reason))
+        for digest in shared_digests:
             del self._by_digest[digest]
-        self.problems = tuple(found)
+        self.problems = tuple(all_problems)
 
     def holder(self, digest: str) -> Customer | None:
         """Return the customer that holds a key, or None."""
--- a/wisteriastair/core/dispatch.py
+++ b/wisteriastair/core/dispatch.py
@@ -17,9 +17,9 @@
 
 LOAD_MAX_AGE_S: Final = 10.0
 PREFIX_CHARS: Final = 256
-PREFERRED: Final = 2
-SMOOTHING: Final = 0.2
-MIN_COMPARED: Final = 3
+PREFERRED_SERVERS: Final = 2
+SPEED_WEIGHT: Final = 0.2
+MIN_MEASURED_SERVERS: Final = 3
 SLOW_FACTOR: Final = 2.0
 # Prompt tokens that an engine computes in the time of one output token, roughly.
 PREFILL_PER_DECODE: Final = 200
@@ -60,8 +60,8 @@
         self._router = router
         self._peers = peers
         self._views: dict[str, _ServerView] = {}
-        self._shared: dict[tuple[int, str], int] = {}
-        self._shared_tokens: dict[str, int] = {}
+        self._prefix_tokens: dict[tuple[int, str], int] = {}
+        self._service_prefix_tokens: dict[str, int] = {}
         self._sequence = 0
 
     def place_model(
@@ -103,14 +103,14 @@
                 continue
             if not set(server.serves) & set(service.models):
                 continue
-            waits.append(self._router.wait_s(self._load_of(server.name, now)))
+            waits.append(self._router.wait_s(self._candidate_load(server.name, now)))
         return min(waits, default=0.0)
 
-    def _load_of(self, server: str, now: float) -> Candidate:
+    def _candidate_load(self, server: str, now: float) -> Candidate:
         view = self._views.setdefault(server, _ServerView())
-        fresh = now - view.load_at <= LOAD_MAX_AGE_S
-        load = view.load if fresh else None
-        extra_s = self._extra_s(view) if fresh else 0.0
+        is_fresh = now - view.load_at <= LOAD_MAX_AGE_S
+        load = view.load if is_fresh else None
+        extra_s = self._extra_s(view) if is_fresh else 0.0
         return Candidate(server, 0, load, view.sent_since, extra_s)
 
     def _extra_s(self, view: _ServerView) -> float:
@@ -120,12 +120,12 @@
         when its last report is old, so that it is tried again now and then.
         """
         known = sorted(v.token_s for v in self._views.values() if v.token_s > 0)
-        if len(known) < MIN_COMPARED or view.token_s <= 0:
+        if len(known) < MIN_MEASURED_SERVERS or view.token_s <= 0:
             return 0.0
-        middle = known[len(known) // 2]
-        if view.token_s < SLOW_FACTOR * middle:
+        median_s = known[len(known) // 2]
+        if view.token_s < SLOW_FACTOR * median_s:
             return 0.0
-        return view.call_s * (1.0 - middle / view.token_s)
+        return view.call_s * (1.0 - median_s / view.token_s)
 
     def _servers(
         self, config: Config, kind: str, target: str, avoid: str, now: float
@@ -165,7 +165,7 @@
             service.waste_weight,
             self._sequence,
         )
-        preferred = rank(f"prefix {_prefix_of(program)}", servers)[:PREFERRED]
+        preferred = rank(f"prefix {_prefix_hash(program)}", servers)[:PREFERRED_SERVERS]
         candidates = [
             self._candidate(program, name, preferred, now) for name in sorted(servers)
         ]
@@ -182,11 +182,11 @@
         is the estimate; until this process has seen one, the servers that all
         processes prefer for that beginning are taken to have it.
         """
-        candidate = self._load_of(server, now)
+        candidate = self._candidate_load(server, now)
         if program.last_tokens == 0:
-            cached = self._shared.get((_prefix_of(program), server))
+            cached = self._prefix_tokens.get((_prefix_hash(program), server))
             if cached is None and server in preferred:
-                cached = self._shared_tokens.get(program.start.service, 0)
+                cached = self._service_prefix_tokens.get(program.start.service, 0)
             return candidate._replace(cached_tokens=cached or 0)
         if server == program.last_server:
             return candidate._replace(cached_tokens=program.last_tokens)
@@ -201,35 +201,35 @@
         # still under way are in it, so counting them again would scare callers off.
         view.sent_since = 0
         if result.status == "ok" and program.call is not None:
-            _learn_speed(view, result, now - program.call.intended_at)
+            _record_speed(view, result, now - program.call.intended_at)
         if program.last_tokens == 0 and result.status == "ok":
-            self._learn_prefix(program, result)
+            self._record_prefix(program, result)
 
-    def _learn_prefix(self, program: Program, result: CallResult) -> None:
+    def _record_prefix(self, program: Program, result: CallResult) -> None:
         service = program.start.service
-        known = self._shared_tokens.get(service, 0)
-        self._shared_tokens[service] = max(known, result.cached_tokens)
+        known = self._service_prefix_tokens.get(service, 0)
+        self._service_prefix_tokens[service] = max(known, result.cached_tokens)
         # After this call the server has at least the shared beginning cached.
-        tokens = max(result.cached_tokens, self._shared_tokens[service])
-        key = (_prefix_of(program), result.server)
-        self._shared.pop(key, None)
-        self._shared[key] = tokens
-        if len(self._shared) > MAX_PREFIXES:
-            del self._shared[next(iter(self._shared))]
+        tokens = max(result.cached_tokens, self._service_prefix_tokens[service])
+        key = (_prefix_hash(program), result.server)
+        self._prefix_tokens.pop(key, None)
+        self._prefix_tokens[key] = tokens
+        if len(self._prefix_tokens) > MAX_PREFIXES:
+            del self._prefix_tokens[next(iter(self._prefix_tokens))]
 
 
-def _learn_speed(view: _ServerView, result: CallResult, taken_s: float) -> None:
+def _record_speed(view: _ServerView, result: CallResult, elapsed_s: float) -> None:
     """Smooth the time of a call, whole and for each token that it computed."""
     if result.completion_tokens == 0:
         return
     computed = result.prompt_tokens - result.cached_tokens
     work = result.completion_tokens + computed / PREFILL_PER_DECODE
-    token_s = taken_s / work
-    share = SMOOTHING if view.token_s > 0 else 1.0
-    view.token_s += share * (token_s - view.token_s)
-    view.call_s += share * (taken_s - view.call_s)
+    token_s = elapsed_s / work
+    weight = SPEED_WEIGHT if view.token_s > 0 else 1.0
+    view.token_s += weight * (token_s - view.token_s)
+    view.call_s += weight * (elapsed_s - view.call_s)
 
 
-def _prefix_of(program: Program) -> int:
+def _prefix_hash(program: Program) -> int:
     """Tell programs that begin alike, and so share a cached prefix, by a hash."""
     return hash_word("prefix", program.start.prompt[:PREFIX_CHARS])
--- a/wisteriastair/core/fleet.py
+++ b/wisteriastair/core/fleet.py
@@ -28,21 +28,21 @@
 # them little, so three in a row take seconds to come together, and a server that fails
 # at once looks idle all that time; and where one of a dozen rests for a second without
 # need, nothing is missed.
-SERVERS_TO_SUSPECT: Final = 12
-REST_MAX_S: Final = 8.0
+MIN_SERVERS_FAST_EJECTION: Final = 12
+MAX_EJECTION_S: Final = 8.0
 # Longer than entries need to come back after the store does (about two seconds).
 LAPSE_S: Final = 2.6
 # Share of the time for which a leaving server still serves within which it may be used
 # if its service has no other.  The rest, one second of two, is for what comes on top:
 # the end of an entry is learned up to 0.2 s late, a channel may take 0.5 s to open.
-LAST_RESORT: Final = 0.5
+LAST_RESORT_FRACTION: Final = 0.5
 # A report of load older than this, in seconds, says nothing any more.
-LOAD_AGE_S: Final = 1.0
+MAX_LOAD_AGE_S: Final = 1.0
 # How much an own request and one that others have at a server count.
-OWN_WEIGHT: Final = 3.0
-OTHERS_WEIGHT: Final = 0.3
+OWN_REQUEST_WEIGHT: Final = 3.0
+OTHER_REQUEST_WEIGHT: Final = 0.3
 # Weight of a new measurement of a server's time in its running mean.
-TIME_GAIN: Final = 0.1
+RESPONSE_TIME_WEIGHT: Final = 0.1
 
 
 class Server(NamedTuple):
@@ -92,23 +92,23 @@
         self.server = server
         self.start = server.start
         self.open = 0
-        self.vanished_at: float | None = None
+        self.removed_at: float | None = None
         self.lapsed = False
         self.failures = 0
-        self.rests_until = 0.0
-        self.rest_s = REST_S
-        self.mean_s = 0.0
+        self.ejected_until = 0.0
+        self.ejection_s = REST_S
+        self.mean_response_s = 0.0
         self.full_until = 0.0
         self._load = Load(0, 0, server.slots)
         self._load_at = float("-inf")
-        self._open_at_report = 0
+        self._in_flight_at_report = 0
         self.parts = KnownParts()
 
     def take_load(self, load: Load, now: float) -> None:
         """Take a report of load."""
         self._load = load
         self._load_at = now
-        self._open_at_report = self.open
+        self._in_flight_at_report = self.open
 
     def load(self, now: float) -> float:
         """Estimate the requests at the server, own and others'.
@@ -118,50 +118,50 @@
         that each spread their own requests evenly spread the sum evenly too.  So an own
         request stands for several, and what others have there counts little.
         """
-        own = OWN_WEIGHT * self.open
-        if now - self._load_at > LOAD_AGE_S:
+        own = OWN_REQUEST_WEIGHT * self.open
+        if now - self._load_at > MAX_LOAD_AGE_S:
             return own
         reported = self._load.running + self._load.waiting
-        return own + OTHERS_WEIGHT * max(0, reported - self._open_at_report)
+        return own + OTHER_REQUEST_WEIGHT * max(0, reported - self._in_flight_at_report)
 
-    def vanished_within(self, seconds: float, now: float) -> bool:
+    def removed_within(self, seconds: float, now: float) -> bool:
         """Whether the entry vanished at most so many seconds ago."""
-        return self.vanished_at is not None and now - self.vanished_at <= seconds
+        return self.removed_at is not None and now - self.removed_at <= seconds
 
     def takes_work(self) -> bool:
         """Whether the server may get more of what it has begun."""
-        return not self.server.draining and self.vanished_at is None
+        return not self.server.draining and self.removed_at is None
 
     def succeeded(self, seconds: float) -> None:
         """Note a good answer and how long it took."""
         self.failures = 0
-        self.rest_s = REST_S
-        if self.mean_s == 0.0:
-            self.mean_s = seconds
-        self.mean_s += TIME_GAIN * (seconds - self.mean_s)
+        self.ejection_s = REST_S
+        if self.mean_response_s == 0.0:
+            self.mean_response_s = seconds
+        self.mean_response_s += RESPONSE_TIME_WEIGHT * (seconds - self.mean_response_s)
 
-    def failed(self, now: float, to_rest: int = FAILURES_TO_REST) -> bool:
+    def failed(self, now: float, max_failures: int = FAILURES_TO_REST) -> bool:
         """Note a failure; True if the server rests from now on.
 
         Parameters
         ----------
-        to_rest : int
+        max_failures : int
             Failures in a row after which it does.
         """
         self.failures += 1
-        if self.failures < to_rest:
+        if self.failures < max_failures:
             return False
         self.failures = 0
-        self.rests_until = now + self.rest_s
-        self.rest_s = min(REST_MAX_S, self.rest_s * 2)
+        self.ejected_until = now + self.ejection_s
+        self.ejection_s = min(MAX_EJECTION_S, self.ejection_s * 2)
         return True
 
 
-class _Sorted(NamedTuple):
+class _Partition(NamedTuple):
     """Servers of a service that take work, and those that vanished."""
 
-    ready: list[ServerState]
-    vanished: list[ServerState]
+    available: list[ServerState]
+    removed: list[ServerState]
 
 
 class Fleet:
@@ -176,12 +176,12 @@
     def __init__(self, drain_s: float = 2.0) -> None:
         # Set by who follows the store: it is away, or has just come back.
         self.store_unsure = False
-        self._last_resort_s = LAST_RESORT * drain_s
+        self._last_resort_s = LAST_RESORT_FRACTION * drain_s
         self._servers: dict[str, ServerState] = {}
         self._by_service: dict[str, list[ServerState]] = {}
         # By service: those that take work, and those that vanished.  Worked out anew
         # after a change; with 1,500 servers a look at each cost more than the request.
-        self._sorted: dict[str, _Sorted] = {}
+        self._partitions: dict[str, _Partition] = {}
 
     def __len__(self) -> int:
         return len(self._servers)
@@ -198,18 +198,18 @@
         server, or to one that has to read again what it is counted on to hold.
         """
         state = self._servers.get(server.id)
-        if state is not None and _same_start(state.server, server):
+        if state is not None and _is_same_incarnation(state.server, server):
             state.server = server
-            state.vanished_at = None
-            self._sorted.pop(server.service, None)
+            state.removed_at = None
+            self._partitions.pop(server.service, None)
             return None
         replaced = None if state is None else state.server
         if state is not None:
-            self._forget(state)
+            self._discard(state)
         state = ServerState(server)
         self._servers[server.id] = state
         self._by_service.setdefault(server.service, []).append(state)
-        self._sorted.pop(server.service, None)
+        self._partitions.pop(server.service, None)
         return replaced
 
     def remove(self, server_id: str, now: float, *, lapsed: bool = False) -> None:
@@ -223,10 +223,10 @@
             left must get nothing for longer than it serves.
         """
         state = self._servers.get(server_id)
-        if state is not None and state.vanished_at is None:
-            state.vanished_at = now
+        if state is not None and state.removed_at is None:
+            state.removed_at = now
             state.lapsed = lapsed
-            self._sorted.pop(state.server.service, None)
+            self._partitions.pop(state.server.service, None)
 
     def keep_only(self, present: set[str], now: float) -> None:
         """Take a full listing: what is not in it has vanished."""
@@ -236,20 +236,22 @@
 
     def failed(self, state: ServerState, now: float) -> None:
         """Note that a server failed; it may rest."""
-        alike = len(self._by_service.get(state.server.service, []))
-        state.failed(now, 1 if alike >= SERVERS_TO_SUSPECT else FAILURES_TO_REST)
+        service_size = len(self._by_service.get(state.server.service, []))
+        state.failed(
+            now, 1 if service_size >= MIN_SERVERS_FAST_EJECTION else FAILURES_TO_REST
+        )
 
     def expire(self, now: float) -> list[Server]:
         """Forget servers that vanished long ago and have nothing under way."""
         gone = [
             state
             for state in self._servers.values()
-            if state.vanished_at is not None
-            and now - state.vanished_at > LAPSE_S
+            if state.removed_at is not None
+            and now - state.removed_at > LAPSE_S
             and state.open == 0
         ]
         for state in gone:
-            self._forget(state)
+            self._discard(state)
         return [state.server for state in gone]
 
     def usable(self, service: str, now: float) -> list[ServerState]:
@@ -264,38 +266,38 @@
             Not to be changed.  The same object as before if nothing has changed, so
             that what follows from it can be kept.
         """
-        ready, vanished = self._sort(service)
-        if vanished:
-            ready = self._with_vanished(ready, vanished, now)
-        awake = [state for state in ready if state.rests_until <= now]
-        if len(awake) == len(ready):
-            return ready
-        return awake or ready
-
-    def _sort(self, service: str) -> _Sorted:
-        found = self._sorted.get(service)
-        if found is None:
+        available, removed = self._partition(service)
+        if removed:
+            available = self._add_removed(available, removed, now)
+        not_ejected = [state for state in available if state.ejected_until <= now]
+        if len(not_ejected) == len(available):
+            return available
+        return not_ejected or available
+
+    def _partition(self, service: str) -> _Partition:
+        partition = self._partitions.get(service)
+        if partition is None:
             states = self._by_service.get(service, [])
             states = [state for state in states if not state.server.draining]
-            found = _Sorted(
-                [state for state in states if state.vanished_at is None],
-                [state for state in states if state.vanished_at is not None],
+            partition = _Partition(
+                [state for state in states if state.removed_at is None],
+                [state for state in states if state.removed_at is not None],
             )
-            self._sorted[service] = found
-        return found
+            self._partitions[service] = partition
+        return partition
 
-    def _with_vanished(
-        self, ready: list[ServerState], vanished: list[ServerState], now: float
+    def _add_removed(
+        self, available: list[ServerState], removed: list[ServerState], now: float
     ) -> list[ServerState]:
-        ready = ready + [s for s in vanished if self._lapsed(s, now)]
-        gone = [s for s in vanished if s.vanished_within(self._last_resort_s, now)]
-        gone = [s for s in gone if s not in ready]
+        available = available + [s for s in removed if self._may_come_back(s, now)]
+        gone = [s for s in removed if s.removed_within(self._last_resort_s, now)]
+        gone = [s for s in gone if s not in available]
         # One entry that ends means a server that leaves, most of a service's do not.
-        if not ready or (self.store_unsure and len(gone) > len(ready)):
-            ready = ready + gone
-        return ready
+        if not available or (self.store_unsure and len(gone) > len(available)):
+            available = available + gone
+        return available
 
-    def _lapsed(self, state: ServerState, now: float) -> bool:
+    def _may_come_back(self, state: ServerState, now: float) -> bool:
         """Whether an entry vanished only because the store was away, and may be back.
 
         One that vanishes after that, also shortly after, is not counted: used beside
@@ -303,13 +305,13 @@
         two seconds for which it still serves.
         """
         unsure = self.store_unsure and state.lapsed
-        return unsure and state.vanished_within(LAPSE_S, now)
+        return unsure and state.removed_within(LAPSE_S, now)
 
-    def _forget(self, state: ServerState) -> None:
+    def _discard(self, state: ServerState) -> None:
         del self._servers[state.server.id]
         self._by_service[state.server.service].remove(state)
-        self._sorted.pop(state.server.service, None)
+        self._partitions.pop(state.server.service, None)
 
 
-def _same_start(known: Server, told: Server) -> bool:
-    return (known.service, known.born) == (told.service, told.born)
+def _is_same_incarnation(known: Server, received: Server) -> bool:
+    return (known.service, known.born) == (received.service, received.born)
--- a/wisteriastair/core/hashing.py
+++ b/wisteriastair/core/hashing.py
@@ -10,18 +10,18 @@
 from collections.abc import Iterable
 from hashlib import blake2b
 
-WORD_BYTES = 8
+HASH_BYTES = 8
 
 
 def hash_word(*parts: str) -> int:
     """Hash of strings as an unsigned 64-bit number."""
-    state = blake2b("\x00".join(parts).encode(), digest_size=WORD_BYTES)
+    state = blake2b("\x00".join(parts).encode(), digest_size=HASH_BYTES)
     return int.from_bytes(state.digest(), "big")
 
 
-def rank(job: str, candidates: Iterable[str]) -> list[str]:
+def rank(item: str, candidates: Iterable[str]) -> list[str]:
     """Order candidates by rendezvous hash, the chosen one first."""
-    return sorted(candidates, key=lambda name: hash_word(job, name), reverse=True)
+    return sorted(candidates, key=lambda name: hash_word(item, name), reverse=True)
 
 
 def program_id(customer: str, key: str) -> str:
--- a/wisteriastair/core/placement.py
+++ b/wisteriastair/core/placement.py
@@ -60,9 +60,9 @@
     """Proposals for one segment and the call to the service under way."""
 
     def __init__(self) -> None:
-        self.wanted: dict[int, Row] = {}
+        self.proposals: dict[int, Row] = {}
         self.busy_until = 0.0
-        self.not_before = 0.0
+        self.retry_at = 0.0
         self.attempts = 0
 
 
@@ -92,37 +92,37 @@
     def propose(self, row: Row) -> None:
         """Ask for a row; it is proposed until the table has a later epoch."""
         key = segment_key(row.slot, self.segments)
-        self._segments[key].wanted[row.slot] = row
+        self._segments[key].proposals[row.slot] = row
 
     def withdraw(self, slot: int) -> None:
         """Take a proposal back; a write of it already under way may still win."""
         segment = self._segments[segment_key(slot, self.segments)]
-        segment.wanted.pop(slot, None)
+        segment.proposals.pop(slot, None)
 
     def settle(self, slot: int, epoch: int) -> None:
         """Drop a proposal that the table has overtaken."""
         segment = self._segments[segment_key(slot, self.segments)]
-        row = segment.wanted.get(slot)
+        row = segment.proposals.get(slot)
         if row is not None and row.epoch <= epoch:
-            del segment.wanted[slot]
+            del segment.proposals[slot]
 
     def take(self, value: bytes) -> list[Row]:
         """Take a confirmed segment; rows newer than those known are returned."""
-        news = []
+        newer = []
         for slot, row in decode_rows(value).items():
             known = self.rows.get(slot)
             if known is None or row.epoch > known.epoch:
                 self.rows[slot] = row
                 self.settle(slot, row.epoch)
-                news.append(row)
-        return news
+                newer.append(row)
+        return newer
 
     def tick(self, now: float) -> list[Effect]:
         """Begin a read for every segment with something to propose."""
         effects: list[Effect] = []
         for key, segment in self._segments.items():
-            idle = now >= segment.busy_until and now >= segment.not_before
-            if segment.wanted and idle:
+            idle = now >= segment.busy_until and now >= segment.retry_at
+            if segment.proposals and idle:
                 segment.busy_until = now + ANSWER_TIMEOUT_S
                 effects.append(KvRead(key))
         return effects
@@ -145,7 +145,7 @@
         segment = self._segments[key]
         rows = decode_rows(value)
         changed = False
-        for slot, row in segment.wanted.items():
+        for slot, row in segment.proposals.items():
             present = rows.get(slot)
             epoch = present.epoch if present is not None else 0
             if row.epoch == epoch + 1:
@@ -153,7 +153,7 @@
                 changed = True
         if not changed:
             segment.busy_until = 0.0
-            segment.not_before = now + RETRY_S
+            segment.retry_at = now + RETRY_S
             return []
         segment.busy_until = now + ANSWER_TIMEOUT_S
         return [KvSwap(key, revision, encode_rows(rows))]
@@ -169,4 +169,4 @@
         segment.attempts += 1
         delay = min(RETRY_MAX_S, RETRY_S * 2 ** min(segment.attempts, 10))
         jitter = hash_word(self._me, key, str(segment.attempts)) % 1000 / 1000
-        segment.not_before = now + delay * (0.5 + jitter)
+        segment.retry_at = now + delay * (0.5 + jitter)
--- a/wisteriastair/core/quota.py
+++ b/wisteriastair/core/quota.py
@@ -29,12 +29,12 @@
 from .membership import Member, over_domains
 
 # Holders of one customer: with one lost, two thirds of the quota are still there.
-HOLDERS: Final = 3
+MAX_HOLDERS: Final = 3
 # Longest time from a permit to the arrival of its request at a server, in seconds.
 USE_S: Final = 0.3
 # Share of the tolerated excess that permits may use up.  The rest is for requests that
 # run on a second server, and for clocks that differ.
-TOLERANCE_USED: Final = 0.8
+TOLERANCE_FRACTION: Final = 0.8
 # A permit is given ahead of time by at most this, in seconds; the relay waits for it.
 # A refused caller would take longer to come back.
 AHEAD_S: Final = 0.5
@@ -43,19 +43,19 @@
 HANDOVER_S: Final = 2.5
 # A member that was no holder for this long, in seconds, was not replaced: less than
 # `HANDOVER_S` by more than lists take to get to all members, twice.
-SHORT_GAP_S: Final = 1.0
+MAX_GAP_S: Final = 1.0
 # Lists of members that are remembered, to tell since when this one is a holder.
-MOST_LISTS: Final = 16
+MAX_MEMBER_LISTS: Final = 16
 # A program that has asked for nothing for this long counts as ended, in seconds.
-IDLE_S: Final = 6.0
+PROGRAM_IDLE_S: Final = 6.0
 # Requests that a program of a kind not met before is taken to need.
-FIRST_NEED: Final = 12.0
+INITIAL_ESTIMATE: Final = 12.0
 # Weight of a newly ended program in what its kind is taken to need.
-NEED_GAIN: Final = 0.1
+ESTIMATE_WEIGHT: Final = 0.1
 # Kinds of programs that are told apart.
-MOST_KINDS: Final = 256
+MAX_KINDS: Final = 256
 # Programs remembered by one customer; the least recently seen yield.
-MOST_PROGRAMS: Final = 4096
+MAX_PROGRAMS: Final = 4096
 
 
 class QuotaBounds(NamedTuple):
@@ -130,8 +130,8 @@
     allowed = rate * bounds.window_s + burst
     tolerated = allowed * bounds.over + bounds.slack
     inflow = rate * (bounds.window_s + USE_S)
-    depth = max(1.0, allowed + TOLERANCE_USED * tolerated - inflow)
-    holders = max(1, min(HOLDERS, int(depth)))
+    depth = max(1.0, allowed + TOLERANCE_FRACTION * tolerated - inflow)
+    holders = max(1, min(MAX_HOLDERS, int(depth)))
     return Allowance(rate / holders, depth / holders, holders)
 
 
@@ -161,88 +161,93 @@
         self.level = level
         self._at = now
 
-    def fill(self, rate_per_s: float, depth: float, now: float) -> None:
+    def refill(self, rate_per_s: float, depth: float, now: float) -> None:
         """Let in what has come since the last call."""
-        flowed = rate_per_s * max(0.0, now - self._at)
-        self.level = min(depth, self.level + flowed)
+        added = rate_per_s * max(0.0, now - self._at)
+        self.level = min(depth, self.level + added)
         self._at = max(self._at, now)
 
 
-class _Program(NamedTuple):
+class _ProgramUsage(NamedTuple):
     """A program that was let in: its requests, and those that were set aside for it."""
 
     kind: str
     requests: int
     reserved: float
-    seen: float
+    last_seen_at: float
 
 
-class _Needs:
+class _RequestEstimates:
     """How many requests programs of each kind have needed of late."""
 
     def __init__(self) -> None:
         self._means: dict[str, float] = {}
 
-    def of(self, kind: str) -> float:
+    def estimate(self, kind: str) -> float:
         """Return what a program of a kind needs; the kinds are few."""
-        return self._means.get(kind, FIRST_NEED)
+        return self._means.get(kind, INITIAL_ESTIMATE)
 
-    def learn(self, kind: str, requests: int) -> None:
+    def add_sample(self, kind: str, requests: int) -> None:
         """Take what an ended program has needed."""
-        if not kind or (kind not in self._means and len(self._means) >= MOST_KINDS):
+        if not kind or (kind not in self._means and len(self._means) >= MAX_KINDS):
             return
-        mean = self.of(kind)
-        self._means[kind] = mean + NEED_GAIN * (requests - mean)
+        mean = self.estimate(kind)
+        self._means[kind] = mean + ESTIMATE_WEIGHT * (requests - mean)
 
 
-class _Account:
+class _CustomerAccount:
     """A customer at one of its holders."""
 
-    def __init__(self, share: Allowance, since: float, now: float) -> None:
-        held_s = max(0.0, now - since)
-        self.created = since
+    def __init__(self, bucket: Allowance, held_from: float, now: float) -> None:
+        held_s = max(0.0, now - held_from)
+        self.held_from = held_from
         self.list_number = -1
-        self.permits = _Bucket(min(share.depth, share.rate_per_s * held_s), now)
-        self.starts = _Bucket(self.permits.level, now)
+        self.permits = _Bucket(min(bucket.depth, bucket.rate_per_s * held_s), now)
+        self.admissions = _Bucket(self.permits.level, now)
         # By program, the one seen last at the end.
-        self.programs: OrderedDict[str, _Program] = OrderedDict()
+        self.programs: OrderedDict[str, _ProgramUsage] = OrderedDict()
 
-    def hold_anew(self, share: Allowance, since: float, now: float) -> None:
+    def resume(self, bucket: Allowance, held_from: float, now: float) -> None:
         """Begin again after a gap in which others may have given permits.
 
         What was given before it still counts: a list that changes many times in a
         second would otherwise fill the bucket each time.
         """
-        self.created = since
-        self.permits.fill(share.rate_per_s, share.depth, now)
-        held_s = max(0.0, now - since)
-        self.permits.level = min(self.permits.level, share.rate_per_s * held_s)
+        self.held_from = held_from
+        self.permits.refill(bucket.rate_per_s, bucket.depth, now)
+        held_s = max(0.0, now - held_from)
+        self.permits.level = min(self.permits.level, bucket.rate_per_s * held_s)
 
-    def begin(self, program: str, kind: str, need: float, now: float) -> None:
+    def admit_program(
+        self, program: str, kind: str, expected_requests: float, now: float
+    ) -> None:
         """Note a program that is let in, and set aside what it will need."""
-        self.starts.level -= need
-        self.programs[program] = _Program(kind, 0, need, now)
+        self.admissions.level -= expected_requests
+        self.programs[program] = _ProgramUsage(kind, 0, expected_requests, now)
 
-    def note(self, program: str, now: float) -> None:
+    def record_request(self, program: str, now: float) -> None:
         """Note a permitted request of a program."""
-        known = self.programs.pop(program, _Program("", 0, 0.0, now))
+        known = self.programs.pop(program, _ProgramUsage("", 0, 0.0, now))
         count = known.requests + 1
         # One that needs more than was set aside leaves less for the next.
-        lacking = max(0.0, count - known.reserved) if known.kind else 0.0
-        self.starts.level -= lacking
-        reserved = known.reserved + lacking
-        self.programs[program] = _Program(known.kind, count, reserved, now)
+        shortfall = max(0.0, count - known.reserved) if known.kind else 0.0
+        self.admissions.level -= shortfall
+        reserved = known.reserved + shortfall
+        self.programs[program] = _ProgramUsage(known.kind, count, reserved, now)
 
-    def forget(self, needs: _Needs, now: float) -> None:
+    def expire_programs(self, estimates: _RequestEstimates, now: float) -> None:
         """Give back what ended programs have not needed, and learn from them."""
         while self.programs:
             name, oldest = next(iter(self.programs.items()))
-            if now - oldest.seen <= IDLE_S and len(self.programs) <= MOST_PROGRAMS:
+            if (
+                now - oldest.last_seen_at <= PROGRAM_IDLE_S
+                and len(self.programs) <= MAX_PROGRAMS
+            ):
                 return
             del self.programs[name]
-            needs.learn(oldest.kind, oldest.requests)
+            estimates.add_sample(oldest.kind, oldest.requests)
             if oldest.kind:
-                self.starts.level += oldest.reserved - oldest.requests
+                self.admissions.level += oldest.reserved - oldest.requests
 
 
 class QuotaHolder:
@@ -266,14 +271,14 @@
         self._me = me
         self._bounds = bounds
         self._customers: dict[str, Customer] = {}
-        self._accounts: dict[str, _Account] = {}
-        self._needs = _Needs()
+        self._accounts: dict[str, _CustomerAccount] = {}
+        self._estimates = _RequestEstimates()
         # Lists of members and since when each is known, the newest last.  The first was
         # in force when the process before this one, if any, had already ended.
-        self._lists = [(members, now)]
+        self._member_lists = [(members, now)]
         self._list_number = 0
         # When the number of a customer's holders changed.
-        self._redivided: dict[str, float] = {}
+        self._handover_until: dict[str, float] = {}
 
     def configure(self, customers: dict[str, Customer], now: float) -> None:
         """Take the customers of a newer configuration."""
@@ -283,10 +288,10 @@
                 continue
             if before.quota == customer.quota:
                 continue
-            shares = [allowance(c.quota, self._bounds) for c in (before, customer)]
-            if shares[0].holders != shares[1].holders:
+            buckets = [allowance(c.quota, self._bounds) for c in (before, customer)]
+            if buckets[0].holders != buckets[1].holders:
                 # One that comes in must not give out again what the others have.
-                self._redivided[name] = now + HANDOVER_S
+                self._handover_until[name] = now + HANDOVER_S
                 self._list_number += 1
         self._customers = customers
         for name in self._accounts.keys() - customers.keys():
@@ -294,10 +299,10 @@
 
     def take_members(self, members: tuple[Member, ...], now: float) -> None:
         """Take a newer list of members."""
-        if members == self._lists[-1][0]:
+        if members == self._member_lists[-1][0]:
             return
-        self._lists.append((members, now))
-        del self._lists[:-MOST_LISTS]
+        self._member_lists.append((members, now))
+        del self._member_lists[:-MAX_MEMBER_LISTS]
         self._list_number += 1
 
     def ask(
@@ -319,42 +324,48 @@
             return Permit(Answer.NOT_MINE)
         if known.quota is None:
             return Permit(Answer.GRANTED)
-        share = allowance(known.quota, self._bounds)
-        account = self._account(customer, share, now)
+        bucket = allowance(known.quota, self._bounds)
+        account = self._account(customer, bucket, now)
         if account is None:
             return Permit(Answer.NOT_MINE)
-        account.permits.fill(share.rate_per_s, share.depth, now)
-        account.starts.fill(share.rate_per_s, share.depth, now)
-        account.forget(self._needs, now)
+        account.permits.refill(bucket.rate_per_s, bucket.depth, now)
+        account.admissions.refill(bucket.rate_per_s, bucket.depth, now)
+        account.expire_programs(self._estimates, now)
         # One that has just begun to hold cannot tell new programs from those under way.
-        tells = now - account.created > IDLE_S
-        begins = tells and bool(kind) and program not in account.programs
-        if (begins or not program) and account.starts.level <= 0:
-            return Permit(Answer.SPENT, -account.starts.level / share.rate_per_s, True)
-        wait_s = max(0.0, 1.0 - account.permits.level) / share.rate_per_s
+        knows_programs = now - account.held_from > PROGRAM_IDLE_S
+        is_new = knows_programs and bool(kind) and program not in account.programs
+        if (is_new or not program) and account.admissions.level <= 0:
+            return Permit(
+                Answer.SPENT, -account.admissions.level / bucket.rate_per_s, True
+            )
+        wait_s = max(0.0, 1.0 - account.permits.level) / bucket.rate_per_s
         if wait_s > (AHEAD_S if ahead else 0.0):
             return Permit(Answer.SPENT, wait_s)
         account.permits.level -= 1.0
-        if begins:
-            account.begin(program, kind, self._needs.of(kind), now)
+        if is_new:
+            account.admit_program(program, kind, self._estimates.estimate(kind), now)
         if program:
-            account.note(program, now)
+            account.record_request(program, now)
         else:
-            account.starts.level -= 1.0
+            account.admissions.level -= 1.0
         return Permit(Answer.GRANTED, wait_s)
 
-    def _account(self, customer: str, share: Allowance, now: float) -> _Account | None:
+    def _account(
+        self, customer: str, bucket: Allowance, now: float
+    ) -> _CustomerAccount | None:
         """Return the account of a customer; None if this is no holder, or not yet."""
         account = self._accounts.get(customer)
         if account is not None and account.list_number == self._list_number:
             return account
-        since = self._held_since(customer, share.holders)
-        if since is None or since > now:
+        held_from = self._held_since(customer, bucket.holders)
+        if held_from is None or held_from > now:
             return None
         if account is None:
-            account = self._accounts[customer] = _Account(share, since, now)
-        elif since > account.created:
-            account.hold_anew(share, since, now)
+            account = self._accounts[customer] = _CustomerAccount(
+                bucket, held_from, now
+            )
+        elif held_from > account.held_from:
+            account.resume(bucket, held_from, now)
         account.list_number = self._list_number
         return account
 
@@ -365,15 +376,15 @@
         members fall out of the list and come back one by one, all holders of a customer
         would otherwise wait for each other.
         """
-        held: float | None = None
-        back_at = 0.0
-        for place in reversed(range(len(self._lists))):
-            members, known_at = self._lists[place]
+        held_from: float | None = None
+        resumed_at = 0.0
+        for index in reversed(range(len(self._member_lists))):
+            members, known_at = self._member_lists[index]
             if self._me in holders_of(members, customer, count):
-                held = known_at + (HANDOVER_S if place else 0.0)
-                back_at = known_at
-            elif held is None or back_at - known_at > SHORT_GAP_S:
+                held_from = known_at + (HANDOVER_S if index else 0.0)
+                resumed_at = known_at
+            elif held_from is None or resumed_at - known_at > MAX_GAP_S:
                 break
-        if held is None:
+        if held_from is None:
             return None
-        return max(held, self._redivided.get(customer, held))
+        return max(held_from, self._handover_until.get(customer, held_from))
--- a/wisteriastair/core/reach.py
+++ b/wisteriastair/core/reach.py
@@ -14,9 +14,9 @@
 
 # A success within this time, in seconds, outweighs a failure: the failed request may
 # have met replicas that were just being replaced.
-FRESH_S: Final = 0.4
+SUCCESS_VALID_S: Final = 0.4
 # A probe is sent if nothing succeeded for this time, in seconds.
-PROBE_S: Final = 0.4
+PROBE_AFTER_S: Final = 0.4
 
 
 class Reach:
@@ -24,22 +24,22 @@
 
     def __init__(self) -> None:
         self.away = False
-        self._good_at = float("-inf")
+        self._last_success_at = float("-inf")
 
     def succeeded(self, now: float) -> bool:
         """Note a success; True if the peers were away before."""
-        self._good_at = now
-        was_away = self.away
+        self._last_success_at = now
+        was_unreachable = self.away
         self.away = False
-        return was_away
+        return was_unreachable
 
     def failed(self, now: float) -> bool:
         """Note a failure; True if the peers count as away from now on."""
-        if self.away or now - self._good_at < FRESH_S:
+        if self.away or now - self._last_success_at < SUCCESS_VALID_S:
             return False
         self.away = True
         return True
 
     def wants_probe(self, now: float) -> bool:
         """Whether to find out now."""
-        return now - self._good_at >= PROBE_S
+        return now - self._last_success_at >= PROBE_AFTER_S
--- a/wisteriastair/core/reuse.py
+++ b/wisteriastair/core/reuse.py
@@ -20,12 +20,12 @@
 from .hashing import hash_word
 
 # Parts remembered for one server: the turns of some minutes at 2.4 a second.
-MOST_PARTS: Final = 512
+MAX_SEGMENTS: Final = 512
 # Servers that are compared for a program; of more, only those that follow the program's
 # place in the order of their hashes.
-MOST_RANKED: Final = 64
+MAX_RANKED: Final = 64
 # The parts before this one are shared with other programs.
-FIRST_OWN: Final = 1
+FIRST_PRIVATE: Final = 1
 
 
 class PromptPart(NamedTuple):
@@ -41,20 +41,24 @@
     def __init__(self) -> None:
         self._tokens: dict[str, int] = {}
 
-    def __contains__(self, part_id: str) -> bool:
-        return part_id in self._tokens
+    def __contains__(self, segment_id: str) -> bool:
+        return segment_id in self._tokens
 
     def __len__(self) -> int:
         return len(self._tokens)
 
-    def note(self, parts: Iterable[PromptPart]) -> None:
+    def note(self, segments: Iterable[PromptPart]) -> None:
         """Note that a server has read a prompt."""
-        for part in parts:
-            self._tokens[part.id] = max(part.tokens, self._tokens.pop(part.id, 0))
-        while len(self._tokens) > MOST_PARTS:
+        for segment in segments:
+            self._tokens[segment.id] = max(
+                segment.tokens, self._tokens.pop(segment.id, 0)
+            )
+        while len(self._tokens) > MAX_SEGMENTS:
             del self._tokens[next(iter(self._tokens))]
 
-    def lacking(self, parts: tuple[PromptPart, ...], total: int = 0) -> float:
+    def missing_fraction(
+        self, segments: tuple[PromptPart, ...], total: int = 0
+    ) -> float:
         """Share of a prompt's tokens that the server would have to read.
 
         A part counts only if all before it are there too, as in the server's cache.
@@ -64,21 +68,21 @@
         total : int
             Tokens of all parts, if they have been added up already.
         """
-        total = total or sum(part.tokens for part in parts)
+        total = total or sum(segment.tokens for segment in segments)
         if total <= 0:
             return 0.0
         known = self._tokens
-        held = 0
-        for part_id, tokens in parts:
-            had = known.get(part_id, 0)
-            if had < tokens:
-                held += had
+        cached_tokens = 0
+        for segment_id, tokens in segments:
+            known_tokens = known.get(segment_id, 0)
+            if known_tokens < tokens:
+                cached_tokens += known_tokens
                 break
-            held += tokens
-        return 1.0 - held / total
+            cached_tokens += tokens
+        return 1.0 - cached_tokens / total
 
 
-def agreed_server(parts: tuple[PromptPart, ...], servers: tuple[str, ...]) -> str:
+def agreed_server(segments: tuple[PromptPart, ...], servers: tuple[str, ...]) -> str:
     """Id of the server that all processes take for a program's; empty for none.
 
     Parameters
@@ -86,21 +90,21 @@
     servers : tuple of str
         Ids of the servers that may get work.
     """
-    if len(parts) <= FIRST_OWN or not servers:
+    if len(segments) <= FIRST_PRIVATE or not servers:
         return ""
-    return _first(parts[FIRST_OWN].id, servers)
+    return _top_ranked(segments[FIRST_PRIVATE].id, servers)
 
 
 @lru_cache(maxsize=4096)
-def _first(part_id: str, servers: tuple[str, ...]) -> str:
-    if len(servers) > MOST_RANKED:
-        order = _hash_order(servers)
-        start = bisect(order, (hash_word("program", part_id), ""))
-        around = (order[(start + n) % len(order)] for n in range(MOST_RANKED))
-        servers = tuple(name for _, name in around)
-    return max(servers, key=lambda name: hash_word("program", part_id, name))
+def _top_ranked(segment_id: str, servers: tuple[str, ...]) -> str:
+    if len(servers) > MAX_RANKED:
+        order = _servers_by_hash(servers)
+        start = bisect(order, (hash_word("program", segment_id), ""))
+        following = (order[(start + n) % len(order)] for n in range(MAX_RANKED))
+        servers = tuple(name for _, name in following)
+    return max(servers, key=lambda name: hash_word("program", segment_id, name))
 
 
 @lru_cache(maxsize=16)
-def _hash_order(servers: tuple[str, ...]) -> list[tuple[int, str]]:
+def _servers_by_hash(servers: tuple[str, ...]) -> list[tuple[int, str]]:
     return sorted((hash_word("server", name), name) for name in servers)
--- a/wisteriastair/core/routes.py
+++ b/wisteriastair/core/routes.py
@@ -86,10 +86,10 @@
         if len(self.shares) == 1:
             return self.shares[0].service
         total = sum(share.weight for share in self.shares)
-        mark = hash_word("share", self.name, request_id) / HASH_RANGE * total
+        position = hash_word("share", self.name, request_id) / HASH_RANGE * total
         for share in self.shares:
-            mark -= share.weight
-            if mark < 0:
+            position -= share.weight
+            if position < 0:
                 return share.service
         return self.shares[-1].service
 
--- a/wisteriastair/core/routing.py
+++ b/wisteriastair/core/routing.py
@@ -17,7 +17,7 @@
 from .hashing import hash_word, rank
 from .wire import ServerLoad
 
-CROWD_SHARE: Final = 0.1
+CROWDING_FRACTION: Final = 0.1
 # Seconds of computing a prompt again count more than seconds of waiting, since they
 # also slow every other call on that server.  Measured: docs/design/policy.md.
 WASTE_BASE: Final = 1.0
@@ -110,7 +110,7 @@
 
     def choose(self, call: Call, candidates: list[Candidate]) -> Candidate:
         """Choose the fewest calls, ties by hash."""
-        return min(candidates, key=lambda c: (_calls_at(c), _tie(call, c)))
+        return min(candidates, key=lambda c: (_calls_at(c), _tie_break(call, c)))
 
 
 class AffinityOnly(Router):
@@ -127,7 +127,7 @@
 
     def choose(self, call: Call, candidates: list[Candidate]) -> Candidate:
         """Choose the cheapest, ties by hash so that choosers spread."""
-        return min(candidates, key=lambda c: (self._cost(call, c), _tie(call, c)))
+        return min(candidates, key=lambda c: (self._cost(call, c), _tie_break(call, c)))
 
     def _cost(self, call: Call, candidate: Candidate) -> float:
         engine = self.engine
@@ -136,8 +136,8 @@
         waste_factor = WASTE_BASE + WASTE_SLOPE * call.waste_weight
         # A fuller batch slows each call a little before any has to wait.
         calls = min(_calls_at(candidate), engine.slots)
-        crowd_s = CROWD_SHARE * engine.call_s * calls / engine.slots
-        busy_s = self.wait_s(candidate) + crowd_s + candidate.extra_s
+        crowding_s = CROWDING_FRACTION * engine.call_s * calls / engine.slots
+        busy_s = self.wait_s(candidate) + crowding_s + candidate.extra_s
         return busy_s + waste_factor * prefill_s
 
 
@@ -148,7 +148,7 @@
     return reported + candidate.sent_since
 
 
-def _tie(call: Call, candidate: Candidate) -> int:
+def _tie_break(call: Call, candidate: Candidate) -> int:
     return hash_word(call.program, candidate.server)
 
 
--- a/wisteriastair/core/silence.py
+++ b/wisteriastair/core/silence.py
@@ -14,41 +14,43 @@
 
 # A server is silent after so many times the usual answer of its service, and not before
 # this many seconds: single answers take several times the mean.
-SILENT_TIMES: Final = 6.0
-SILENT_LEAST_S: Final = 0.25
+TIMEOUT_FACTOR: Final = 6.0
+MIN_TIMEOUT_S: Final = 0.25
 # Weight of a new answer in what is usual.
-USUAL_GAIN: Final = 0.05
+RESPONSE_TIME_WEIGHT: Final = 0.05
 # Share of the requests that may be repeated for silence, and how many at once.
-REPEAT_SHARE: Final = 0.1
-REPEATS_MOST: Final = 10.0
+RETRY_FRACTION: Final = 0.1
+MAX_RETRY_BUDGET: Final = 10.0
 
 
 class Silence:
     """What is usual at each service, and how many repeats are left."""
 
     def __init__(self) -> None:
-        self._usual_s: dict[str, float] = {}
-        self._repeats = REPEATS_MOST
+        self._mean_response_s: dict[str, float] = {}
+        self._retry_budget = MAX_RETRY_BUDGET
 
     def asked(self) -> None:
         """Note a request, which earns its share of a repeat."""
-        self._repeats = min(REPEATS_MOST, self._repeats + REPEAT_SHARE)
+        self._retry_budget = min(MAX_RETRY_BUDGET, self._retry_budget + RETRY_FRACTION)
 
     def answered(self, service: str, seconds: float) -> None:
         """Note how long a server took for a whole answer."""
-        usual_s = self._usual_s.setdefault(service, seconds)
-        self._usual_s[service] = usual_s + USUAL_GAIN * (seconds - usual_s)
+        mean_s = self._mean_response_s.setdefault(service, seconds)
+        self._mean_response_s[service] = mean_s + RESPONSE_TIME_WEIGHT * (
+            seconds - mean_s
+        )
 
     def limit_s(self, service: str) -> float | None:
         """Return after how many seconds a server of a service is silent.
 
         None if that is not known, or if nothing may be repeated now.
         """
-        usual_s = self._usual_s.get(service)
-        if usual_s is None or self._repeats < 1.0:
+        mean_s = self._mean_response_s.get(service)
+        if mean_s is None or self._retry_budget < 1.0:
             return None
-        return max(SILENT_LEAST_S, SILENT_TIMES * usual_s)
+        return max(MIN_TIMEOUT_S, TIMEOUT_FACTOR * mean_s)
 
     def repeated(self) -> None:
         """Note that a request is sent once more."""
-        self._repeats -= 1.0
+        self._retry_budget -= 1.0
--- a/wisteriastair/core/stopping.py
+++ b/wisteriastair/core/stopping.py
@@ -14,9 +14,9 @@
 # needs two questions, one a second, to notice that a process is leaving.
 NOTICE_S: Final = 2.5
 # Kept free before the kill that follows the grace period, in seconds.
-MARGIN_S: Final = 0.7
+KILL_MARGIN_S: Final = 0.7
 # A request whose time is over still gets its final answer within this, in seconds.
-ANSWER_S: Final = 0.1
+FINAL_ANSWER_S: Final = 0.1
 
 
 class Stop(NamedTuple):
@@ -36,7 +36,7 @@
     @property
     def ends_at(self) -> float:
         """When whatever is still under way is broken off."""
-        return self.began + max(0.0, self.grace_s - MARGIN_S)
+        return self.began + max(0.0, self.grace_s - KILL_MARGIN_S)
 
     @property
     def noticed_at(self) -> float:
@@ -58,4 +58,4 @@
         longest_s : float
             The longest time that a request may take, in seconds.
         """
-        return max(self.noticed_at, self.ends_at - ANSWER_S - longest_s)
+        return max(self.noticed_at, self.ends_at - FINAL_ANSWER_S - longest_s)
--- a/wisteriastair/core/storetimes.py
+++ b/wisteriastair/core/storetimes.py
@@ -11,19 +11,19 @@
 from typing import Final, NamedTuple
 
 # What is left of that time for a new connection and for reading everything, in seconds.
-MARGIN_S: Final = 0.5
+READ_MARGIN_S: Final = 0.5
 # Pause after a first failed call, and the longest one, in seconds.
-PAUSE_S: Final = 0.25
-PAUSE_MAX_S: Final = 1.0
-PAUSE_SHARE: Final = 0.4
+BACKOFF_S: Final = 0.25
+MAX_BACKOFF_S: Final = 1.0
+MAX_BACKOFF_FRACTION: Final = 0.4
 # A slow store answers after some hundred milliseconds: a call gets this time at least
 # and at most, in seconds.
-LEAST_CALL_S: Final = 1.0
-MOST_CALL_S: Final = 2.5
+MIN_CALL_S: Final = 1.0
+MAX_CALL_S: Final = 2.5
 # How much later than it was to wait a watch is answered at the most, in seconds.
-SLACK_S: Final = 0.8
-LEAST_WATCH_S: Final = 0.2
-MOST_WATCH_S: Final = 2.0
+WATCH_GRACE_S: Final = 0.8
+MIN_WATCH_S: Final = 0.2
+MAX_WATCH_S: Final = 2.0
 
 
 class StoreTimes(NamedTuple):
@@ -59,23 +59,23 @@
     contact_s : float
         Seconds after the store's return within which a process must know what it holds.
     """
-    patience_s = max(LEAST_CALL_S, contact_s - MARGIN_S)
-    pause_max_s = min(PAUSE_MAX_S, PAUSE_SHARE * patience_s)
-    pause_s = min(PAUSE_S, pause_max_s)
-    call_s = patience_s - pause_max_s
+    budget_s = max(MIN_CALL_S, contact_s - READ_MARGIN_S)
+    pause_max_s = min(MAX_BACKOFF_S, MAX_BACKOFF_FRACTION * budget_s)
+    pause_s = min(BACKOFF_S, pause_max_s)
+    call_s = budget_s - pause_max_s
     return StoreTimes(
-        call_s=_within(call_s, LEAST_CALL_S, MOST_CALL_S),
-        watch_s=_watch(patience_s - pause_s),
-        retry_watch_s=_watch(call_s),
-        slack_s=SLACK_S,
+        call_s=_clamp(call_s, MIN_CALL_S, MAX_CALL_S),
+        watch_s=_watch_wait_s(budget_s - pause_s),
+        retry_watch_s=_watch_wait_s(call_s),
+        slack_s=WATCH_GRACE_S,
         pause_s=pause_s,
         pause_max_s=pause_max_s,
     )
 
 
-def _watch(limit_s: float) -> float:
-    return _within(limit_s - SLACK_S, LEAST_WATCH_S, MOST_WATCH_S)
+def _watch_wait_s(limit_s: float) -> float:
+    return _clamp(limit_s - WATCH_GRACE_S, MIN_WATCH_S, MAX_WATCH_S)
 
 
-def _within(value: float, least: float, most: float) -> float:
-    return max(least, min(most, value))
+def _clamp(value: float, low: float, high: float) -> float:
+    return max(low, min(high, value))
--- a/wisteriastair/core/watchers.py
+++ b/wisteriastair/core/watchers.py
@@ -28,17 +28,17 @@
 # waits a quarter of it at most, so that a calm store confirms itself four times within
 # the bound; what a watcher said counts for half of it; the other half is left for the
 # process's own call after that, and for what the connection held up (0.8 s at most).
-WAITS_IN_BOUND: Final = 4.0
-LIMIT_IN_BOUND: Final = 2.0
+WAITS_PER_BOUND: Final = 4.0
+VALIDITY_DIVISOR: Final = 2.0
 # A bound under this cannot be kept with calls that take some hundred milliseconds when
 # the store is slow, in seconds; taken at its word it would have watches end at once.
-LEAST_BOUND_S: Final = 1.0
+MIN_BOUND_S: Final = 1.0
 # A process that is told of a newer revision waits this long for the change itself, in
 # seconds.  Watchers gather changes for 0.2 s, so one may be that much after another.
-GRACE_S: Final = 0.3
+CHANGE_GRACE_S: Final = 0.3
 # Watchers are chosen anew once the list of members has not changed for so long, in
 # seconds: longer than the pauses between members that join one after another.
-SETTLE_S: Final = 2.0
+MEMBERS_STABLE_S: Final = 2.0
 # Subscriptions are renewed this often and end after several missed renewals, in
 # seconds, so that one lost message costs nothing.
 RENEW_S: Final = 1.0
@@ -55,8 +55,8 @@
 
 def make_watch_times(bound_s: float) -> WatchTimes:
     """Derive the times from the bound within which a change has to be in force."""
-    bound_s = max(LEAST_BOUND_S, bound_s)
-    return WatchTimes(bound_s / WAITS_IN_BOUND, bound_s / LIMIT_IN_BOUND)
+    bound_s = max(MIN_BOUND_S, bound_s)
+    return WatchTimes(bound_s / WAITS_PER_BOUND, bound_s / VALIDITY_DIVISOR)
 
 
 def watchers_of(view: View, losses: int) -> tuple[Member, ...]:
@@ -72,7 +72,7 @@
     return over_domains(order, losses + 1)
 
 
-class _Heard(NamedTuple):
+class _LastUpdate(NamedTuple):
     """What a watcher said last."""
 
     at: float
@@ -102,9 +102,9 @@
         self._losses = losses
         self._members: tuple[Member, ...] = ()
         self._members_since = NEVER
-        self._chosen_from: tuple[Member, ...] = ()
+        self._watchers_chosen_from: tuple[Member, ...] = ()
         self._watchers: list[str] = []
-        self._heard: dict[str, _Heard] = {}
+        self._last_updates: dict[str, _LastUpdate] = {}
         self._revision = 0
         self._behind_since: float | None = None
         self._source = ""
@@ -125,10 +125,12 @@
         if view.members != self._members:
             self._members = view.members
             self._members_since = now
-        settled = now - self._members_since >= SETTLE_S
-        if self._members == self._chosen_from or not (settled or not self._watchers):
+        is_stable = now - self._members_since >= MEMBERS_STABLE_S
+        if self._members == self._watchers_chosen_from or not (
+            is_stable or not self._watchers
+        ):
             return
-        self._chosen_from = self._members
+        self._watchers_chosen_from = self._members
         chosen = watchers_of(view, self._losses)
         self._watchers = [m.address for m in holder_order(chosen, self._domain)]
         self._renew_at = NEVER
@@ -139,7 +141,7 @@
         Values are wanted from one watcher only: a large configuration from each of
         three would fill a slow link.
         """
-        source = self._wanted_source(now)
+        source = self._choose_source(now)
         if source == self._source and now < self._renew_at:
             return []
         self._source = source
@@ -147,7 +149,7 @@
         others = [address for address in self._watchers if address != self._me]
         return [(address, Subscribe(address == source)) for address in others]
 
-    def _wanted_source(self, now: float) -> str:
+    def _choose_source(self, now: float) -> str:
         fresh = [a for a in self._watchers if self._is_fresh(a, now)]
         return next(iter(fresh or self._watchers), "")
 
@@ -156,30 +158,32 @@
         address = address_of(sender)
         if address not in self._watchers:
             return
-        self._heard[address] = _Heard(now, news.revision, news.in_touch)
+        self._last_updates[address] = _LastUpdate(now, news.revision, news.in_touch)
         oldest = now - self.times.limit_s
-        self._heard = {
-            a: h for a, h in self._heard.items() if a in self._watchers or h.at > oldest
+        self._last_updates = {
+            a: h
+            for a, h in self._last_updates.items()
+            if a in self._watchers or h.at > oldest
         }
-        self._note_behind(now)
+        self._track_lag(now)
 
     def holds(self, revision: int, now: float) -> None:
         """Note the revision up to which this process knows all changes."""
         self._revision = revision
-        self._note_behind(now)
+        self._track_lag(now)
 
-    def _note_behind(self, now: float) -> None:
-        newest = max((h.revision for h in self._heard.values()), default=0)
+    def _track_lag(self, now: float) -> None:
+        newest = max((h.revision for h in self._last_updates.values()), default=0)
         if newest <= self._revision:
             self._behind_since = None
         elif self._behind_since is None:
             self._behind_since = now
 
     def _is_fresh(self, address: str, now: float) -> bool:
-        heard = self._heard.get(address)
-        if heard is None or not heard.in_touch:
+        last = self._last_updates.get(address)
+        if last is None or not last.in_touch:
             return False
-        return now - heard.at <= self.times.limit_s
+        return now - last.at <= self.times.limit_s
 
     def covered_until(self, now: float) -> float:
         """Return until when this process need not watch; in the past if it must now.
@@ -189,15 +193,17 @@
         """
         if self.is_watcher:
             return NEVER
-        fresh = [h.at for a, h in self._heard.items() if self._is_fresh(a, now)]
+        fresh = [h.at for a, h in self._last_updates.items() if self._is_fresh(a, now)]
         until = max(fresh, default=NEVER) + self.times.limit_s
         if self._behind_since is not None:
-            until = min(until, self._behind_since + GRACE_S)
+            until = min(until, self._behind_since + CHANGE_GRACE_S)
         return until
 
     def store_lost(self, now: float) -> bool:
         """Whether watchers were heard a while ago, and all say that it is away."""
-        recent = [h for h in self._heard.values() if now - h.at <= self.times.limit_s]
+        recent = [
+            h for h in self._last_updates.values() if now - h.at <= self.times.limit_s
+        ]
         return bool(recent) and not any(h.in_touch for h in recent)
 
 
@@ -218,31 +224,33 @@
     """Who is told of the store's changes by this process."""
 
     def __init__(self) -> None:
-        self._until: dict[str, float] = {}
+        self._expires_at: dict[str, float] = {}
         self._wants_values: dict[str, bool] = {}
 
-    def add(self, sender: str, wish: Subscribe, now: float) -> bool:
+    def add(self, sender: str, request: Subscribe, now: float) -> bool:
         """Take or renew a subscription; True if it is new."""
-        new = sender not in self._until
-        self._until[sender] = now + LEASE_S
-        self._wants_values[sender] = wish.values
-        return new
+        is_new = sender not in self._expires_at
+        self._expires_at[sender] = now + LEASE_S
+        self._wants_values[sender] = request.values
+        return is_new
 
     def any(self, now: float) -> bool:
         """Whether anybody relies on this process."""
         self._expire(now)
-        return bool(self._until)
+        return bool(self._expires_at)
 
     def tell(self, news: StoreNews, now: float) -> list[tuple[str, StoreNews]]:
         """Return the messages that carry some news to all subscribers."""
         self._expire(now)
-        bare = msgspec.structs.replace(news, changes=None) if news.changes else news
+        without_values = (
+            msgspec.structs.replace(news, changes=None) if news.changes else news
+        )
         return [
-            (member, news if self._wants_values[member] else bare)
-            for member in self._until
+            (member, news if self._wants_values[member] else without_values)
+            for member in self._expires_at
         ]
 
     def _expire(self, now: float) -> None:
-        for member in [m for m, until in self._until.items() if until < now]:
-            del self._until[member]
+        for member in [m for m, until in self._expires_at.items() if until < now]:
+            del self._expires_at[member]
             del self._wants_values[member]
