--- a/wisteriastair/core/affinity.py
+++ b/wisteriastair/core/affinity.py
@@ -1,16 +1,18 @@
-"""Which backend servers a prompt's shared beginning is led to.
-
-The load pattern: prompts begin with one of a dozen texts of some 12,600 tokens that
-many programs share.  If every server gets every beginning and they do not fit into an
-engine's memory together, each one read evicts another that the next request needs, and
-requests are preempted for lack of memory.
-
-A beginning is therefore led to some of the servers only, its homes: as many as let the
-beginnings at one server take a bounded share of its memory.  Where all of them fit,
-there are no homes and nothing is restricted.  Homes are worked out by rendezvous hash
-in each failure domain apart, so that relays agree without talking, a server that goes
-moves only its own beginnings, and none is led across domains for this.  A home is a
-preference that load outweighs, not a rule.
+"""Affinity of shared prompt prefixes to backend servers.
+
+Load pattern: prompts start with one of a dozen prefixes of about 12,600 tokens, each
+shared by many programs. If every server gets every prefix and they do not fit into the
+memory of an engine together, each computed prefix evicts one that the next request
+needs, and requests are preempted for lack of memory.
+
+Each prefix therefore has a limited set of affinity servers, so that the prefixes at one
+server use a bounded fraction of its memory. If all prefixes fit, there is no
+restriction.
+
+Affinity servers are chosen by rendezvous hash in each failure domain. Relays thus agree
+without communication, a server that leaves moves only its own prefixes, and no prefix
+is sent to another domain for its affinity. Affinity is a preference, which load can
+outweigh.
 """
 
 from __future__ import annotations
@@ -20,53 +22,53 @@
 from .fleet import ServerState
 from .hashing import rank
 
-# A beginning that was not asked for in this time does not count, in seconds: several
-# times as long as a program pauses between two turns.
+# A prefix that was not requested for this time in seconds is not counted. It is several
+# times the pause of a program between two turns.
 ACTIVE_WINDOW_S: Final = 10.0
-# Share of an engine's memory that beginnings may take.  The rest is for requests that
-# run and for what belongs to single programs, about half of it each.
+# Fraction of an engine's memory for shared prefixes. The rest is split about equally
+# between running requests and data of single programs.
 MEMORY_FRACTION: Final = 0.35
-# Homes that are kept for beginnings in use: many times as many as are in use at once.
+# Maximum number of cached results: many times the number of prefixes in use.
 MAX_CACHED_RESULTS: Final = 4096
-# The part of the servers that are homes is rounded to such steps, so that processes
-# that count a beginning more or less agree all the same.
+# The fraction of servers per prefix is rounded to a multiple of 1 / FRACTION_STEPS, so
+# that processes agree even if their counts of prefixes differ slightly.
 FRACTION_STEPS: Final = 20
 
 
 class _PrefixUse(NamedTuple):
-    """When a beginning was last asked for, and its size."""
+    """Time of the last request for a prefix, and its size."""
 
     last_used_at: float
     tokens: int
 
 
 class Beginnings:
-    """The shared beginnings that are in use at one service.
+    """The shared prefixes in use at one service, and their affinity servers.
 
     Parameters
     ----------
     memory_tokens : int
-        Tokens that fit into the memory of one engine; 0 if that is not known.
+        Tokens that fit into the memory of one engine; 0 if unknown.
     """
 
     def __init__(self, memory_tokens: int) -> None:
         self._memory_tokens = memory_tokens
         self._uses: dict[str, _PrefixUse] = {}
         self._active_tokens = 0
-        # Homes worked out for the servers named last.
+        # Cached affinity servers for the most recent list of servers.
         self._servers: list[ServerState] = []
         self._ids: list[str] = []
         self._homes: dict[tuple[str, int], frozenset[str]] = {}
 
     def note(self, prefix: str, tokens: int, now: float) -> None:
-        """Note that a beginning is asked for."""
+        """Record a request for a prefix."""
         previous = self._uses.pop(prefix, None)
         self._active_tokens += tokens - (previous.tokens if previous else 0)
         self._uses[prefix] = _PrefixUse(now, tokens)
         self._expire_before(now - ACTIVE_WINDOW_S)
 
     def _expire_before(self, oldest: float) -> None:
-        # The dictionary keeps the order: those not asked for longest come first.
+        # Ordered by last use, least recently used first.
         for prefix, use in list(self._uses.items()):
             if use.last_used_at >= oldest:
                 return
@@ -74,7 +76,7 @@
             self._active_tokens -= use.tokens
 
     def homes(self, prefix: str, servers: list[ServerState]) -> frozenset[str]:
-        """Ids of the servers that a beginning is led to; empty for no restriction."""
+        """Return the ids of a prefix's affinity servers; empty for no restriction."""
         budget_tokens = MEMORY_FRACTION * self._memory_tokens
         if budget_tokens <= 0 or self._active_tokens <= budget_tokens:
             return frozenset()
@@ -89,7 +91,7 @@
         return homes
 
     def _update_servers(self, servers: list[ServerState]) -> None:
-        """Forget homes if the servers are others; the same list has not changed."""
+        """Clear the cache if the servers differ; an identical list has not changed."""
         self._servers = servers
         ids = [state.server.id for state in servers]
         if ids != self._ids:
--- a/wisteriastair/core/choice.py
+++ b/wisteriastair/core/choice.py
@@ -1,12 +1,13 @@
-"""Which backend server gets a request.
-
-The load pattern: several relays choose at once for the same servers, each knowing its
-own requests and reports that are some answers old.  The cost of a server is the share
-of its places that are taken, plus what it would have to read of the prompt, plus the
-way to another failure domain, plus a charge where the prompt's beginning is led to
-other servers.
-Costs that are nearly equal are decided by a draw, so that relays with the same reports
-do not all go to the same server.
+"""Selection of a backend server for a request.
+
+Load pattern: several relays select servers at the same time. Each relay knows its own
+requests exactly, and the load of the servers only from reports that are some responses
+old. The cost of a server is the sum of its load as a fraction of its concurrency, the
+part of the prompt that it would have to compute, the transfer to another failure
+domain, and a charge if it is not an affinity server of the prompt's shared prefix.
+
+Ties between nearly equal costs are broken at random, so that relays with the same
+reports do not all select the same server.
 """
 
 from __future__ import annotations
@@ -17,56 +18,55 @@
 from .fleet import ServerState
 from .reuse import FIRST_PRIVATE, PromptPart
 
-# Share of a server's places that a detour to another failure domain is worth: a little
-# for the way, and more for each byte of the request, since traffic between domains is
-# paid for.
+# Cost of a server in another failure domain, as a fraction of its concurrency. The cost
+# per kilobyte of the request stands for the price of traffic between domains.
 CROSS_DOMAIN_COST: Final = 0.04
 CROSS_DOMAIN_COST_PER_KB: Final = 0.01
-# A server to which a channel is open is worth this share of its places: opening one
-# takes a round trip, and the server's time.  Less than one own request counts: else the
-# turns of a busy server go to wherever a channel is idle, away from what has read their
-# prompts.
+# Cost of opening a connection: a round trip and time of the server. It is below the
+# cost of one own request. Otherwise the turns of a busy server would move to any server
+# with an idle connection, away from the cached prompts.
 NEW_CONN_COST: Final = 0.06
-# A server that has to read the whole prompt counts as fuller by this share of its
-# places, since reading it stops the decoding of all that runs there.
+# Cost of a server that has to compute the whole prompt. Prefill stops the decoding of
+# all requests that run on the server.
 PREFILL_COST: Final = 1.0
-# A server that the prompt's beginning is not led to counts as fuller by this share of
-# its places: more than one own request at a server of eight places, less than two.
+# Cost of a server that is not an affinity server of the shared prefix: more than one
+# own request on a server with a concurrency of eight, less than two.
 NON_AFFINITY_COST: Final = 0.5
-# Costs closer than this are decided by a draw.
+# Costs within this margin count as equal and are decided at random.
 TIE_MARGIN: Final = 0.01
-# A server that is slower than the mean of its service counts as fuller by this times
-# its excess share.  Little: requests stay longer on a slow server and so count there by
-# themselves.
+# Cost of a server per unit of relative excess over the mean response time of its
+# service. It is low because requests stay longer on a slow server and thus already
+# raise its load.
 SLOWNESS_COST: Final = 0.1
-# Servers that are compared with each other; of more, only those that something speaks
-# for and some that are drawn, since comparing all would cost more than the rest of a
+# Maximum number of servers to compare. Of more servers, only the preferred ones and a
+# random sample are compared, as a full comparison would cost more than the rest of a
 # turn.
 MAX_CANDIDATES: Final = 64
-# Servers drawn of each sort.  The best of a dozen is among the best tenth of all in
-# seven of ten draws.
+# Samples drawn from each group of servers. The best of 12 is among the best tenth of
+# all servers in seven of ten samples.
 MAX_SAMPLES_PER_GROUP: Final = 12
 
 
 class Want(NamedTuple):
-    """What the choice needs to know of a request.
+    """Properties of a request that determine the selection.
 
     Attributes
     ----------
     domain : str
         Failure domain of this process.
     segments : tuple of PromptPart
-        Parts of the prompt, those shared most first.
+        Segments of the prompt, the most widely shared first.
     tried : frozenset of str
-        Servers that have refused this request.
-    kilobytes : float
-        Size of the request.
+        Servers that have rejected this request.
+    size_kb : float
+        Size of the request in kilobytes.
     connected : frozenset of str
-        Starts of servers to which a channel is open and idle.
+        Incarnations of servers to which an idle connection is open.
     homes : frozenset of str
-        Servers that the prompt's beginning is led to; empty for no restriction.
-    agreed : str
-        Server that all processes take for the program's; empty for none.
+        Affinity servers of the shared prefix; empty for no restriction.
+    rendezvous_id : str
+        Server that all processes choose for the program by rendezvous hash; empty for
+        none.
     """
 
     domain: str
@@ -81,12 +81,12 @@
 def choose(
     servers: list[ServerState], want: Want, randbelow: Callable[[int], int], now: float
 ) -> ServerState | None:
-    """Choose a server, or None if there is none left to try.
+    """Select a server, or return None if every server was tried.
 
     Parameters
     ----------
-    draw : callable
-        Draws a number below the one given.
+    randbelow : callable
+        Returns a random integer below its argument.
     """
     candidates = servers
     if want.tried:
@@ -111,11 +111,12 @@
 def _sample_candidates(
     servers: list[ServerState], want: Want, randbelow: Callable[[int], int]
 ) -> list[ServerState]:
-    """Leave the servers that something speaks for, and some that are drawn.
+    """Keep the preferred servers and a random sample of the others.
 
-    A server is spoken for by what it has read of the prompt, by the agreement, or by an
-    idle channel.  The drawn ones keep many processes that know little of the load from
-    meeting at the same servers.
+    Preferred are the rendezvous server and the servers that have this program's prompt
+    cached. Sampling the groups of servers with idle connections, of affinity servers,
+    and of all servers keeps processes that know little of the load from converging on
+    the same servers.
     """
     private_segments = (
         want.segments[FIRST_PRIVATE].id if len(want.segments) > FIRST_PRIVATE else ""
@@ -136,7 +137,7 @@
 
 
 def _has_sent_program(want: Want, servers: list[ServerState]) -> bool:
-    """Whether this process has sent the program to one of the servers."""
+    """Return whether this process has sent the program to one of the servers."""
     private_segments = want.segments[FIRST_PRIVATE:]
     return bool(private_segments) and any(
         private_segments[0].id in state.parts for state in servers
@@ -146,7 +147,7 @@
 def _costs(
     states: list[ServerState], want: Want, rendezvous_id: str, mean_s: float, now: float
 ) -> list[float]:
-    """Work out the costs of servers, in shares of their places."""
+    """Compute the costs of servers as fractions of their concurrency."""
     cross_domain_cost = CROSS_DOMAIN_COST + CROSS_DOMAIN_COST_PER_KB * want.size_kb
     total = sum(segment.tokens for segment in want.segments)
     costs = []
--- a/wisteriastair/core/customers.py
+++ b/wisteriastair/core/customers.py
@@ -1,8 +1,8 @@
-"""Customers: who holds which key, how urgent they are, and how much they may ask.
+"""Customers: their API keys, urgency and quotas.
 
-A key is known here by its digest only, so that no log, message or file can give it
-away.  One dictionary look-up by digest finds its customer: it takes as long with ten
-customers as with ten thousand, and as long for a key that nobody holds.
+Only the digest of a key is stored, so that no log, message or file can leak the key.
+The customer is found by one dictionary lookup. It takes the same time for ten and for
+ten thousand customers, and for an unknown key.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 
 class Quota(NamedTuple):
-    """What a customer may ask of all relays together.
+    """Request rate of a customer over all relays together.
 
     Attributes
     ----------
     rate_per_s : float
-        Requests a second.
+        Sustained requests per second.
     burst : float
-        Requests on top of that, at once.
+        Additional requests that may arrive at once.
     """
 
     rate_per_s: float
@@ -28,12 +28,12 @@
 
 
 class Customer(NamedTuple):
-    """A customer as the configuration names it.
+    """A customer in the configuration.
 
     Attributes
     ----------
     rank : int or None
-        Urgency of its requests, 0 first; None where the route's own counts.
+        Urgency of its requests, 0 first; None for the urgency of the route.
     quota : Quota or None
         None for no limit.
     """
@@ -44,7 +44,7 @@
 
 
 class CustomerProblem(NamedTuple):
-    """A part of the configuration of a customer that makes no sense."""
+    """An invalid part of a customer's configuration."""
 
     customer: str
     field: str
@@ -64,7 +64,7 @@
     by_name : dict of str to Customer
         All customers.
     problems : tuple of CustomerProblem
-        What could not be used, for the log.
+        Invalid parts of the configuration, for the log.
     """
 
     def __init__(
@@ -81,7 +81,8 @@
             for digest in digests:
                 holder = self._by_digest.setdefault(digest, customer)
                 if holder.name != customer.name:
-                    # A request could run in the name of the wrong one: neither has it.
+                    # Requests with a key of two customers could run as the wrong
+                    # customer, so the key is valid for neither.
                     shared_digests.add(digest)
                     reason = f"a key is held by {holder.name} too"
                     all_problems.append(CustomerProblem(customer.name, "keys", reason))
@@ -90,20 +91,20 @@
         self.problems = tuple(all_problems)
 
     def holder(self, digest: str) -> Customer | None:
-        """Return the customer that holds a key, or None."""
+        """Return the customer with this key digest, or None."""
         return self._by_digest.get(digest)
 
 
 def digest_of(key: bytes) -> str:
-    """Digest by which a key is known; keys are drawn, so it needs no salt."""
+    """Return the digest of a key. Keys are random, so no salt is needed."""
     return sha256(key).hexdigest()
 
 
 def scoped(customer: str, name: str) -> str:
-    """Name of a customer's program or turn among those of all customers.
+    """Return the name of a program or turn, qualified by its customer.
 
-    Callers choose these names.  Two customers that choose the same one must not meet
-    in one account, nor may one go on from a turn of the other's.  Header values hold no
-    line feed, so two scoped names are equal only if both their parts are.
+    Callers choose these names. Two customers with the same name must not share an
+    account, and neither may continue a turn of the other. Header values contain no line
+    feed, so qualified names are equal only if both parts are equal.
     """
     return f"{customer}\n{name}" if customer and name else name
--- a/wisteriastair/core/fleet.py
+++ b/wisteriastair/core/fleet.py
@@ -1,17 +1,18 @@
-"""The backend servers that are known, and what their answers have told.
-
-Servers enter and leave by their entries in the platform's store, which lag behind.
-What a server is like is learned from its answers: the load that it reports, the
-requests that this process has under way there, and failures.
-
-An entry that vanishes means that its server is leaving, or that the entry lapsed
-while the store was away.  In ordinary times a server that has vanished takes no new
-work as long as others of its service are there, and if none is, for little longer.
-Around an outage of the store entries that are missing in its first answer have lapsed:
-their servers go on being used like the others for as long as entries need to come back;
-else the first entry that is back would draw the requests of the whole service onto one
-server.  An entry that ends after that means a server that leaves, unless most of its
-service's entries end.
+"""Known backend servers and what their responses reveal about them.
+
+Servers are added and removed by their entries in the platform's store, which lag
+behind. Load, own requests in flight and failures of a server are learned from its
+responses.
+
+A removed entry means that the server is leaving, or that the lease of the entry expired
+during an outage of the store. In normal operation a removed server gets no new requests
+while its service has other servers, and only for a short time if it has none.
+
+Entries missing from the first listing after an outage have expired. Their servers stay
+in use until entries have had time to come back. Otherwise the first entry to return
+would draw the requests of the whole service to one server. An entry removed after that
+first listing means that its server is leaving, unless most entries of the service are
+removed.
 """
 
 from __future__ import annotations
@@ -20,44 +21,46 @@
 
 from .reuse import KnownParts
 
-# Failures in a row after which a server rests, and for how long, in seconds.  One lost
-# answer says little; three in a row at the usual one in thirty do not happen by chance.
+# Consecutive failures after which a server is ejected, and the first ejection time in
+# seconds. A single failure says little. At the usual failure rate of one in thirty,
+# three in a row are not a coincidence.
 FAILURES_TO_REST: Final = 3
 REST_S: Final = 1.0
-# With at least this many servers one failure is enough.  A process then sends each of
-# them little, so three in a row take seconds to come together, and a server that fails
-# at once looks idle all that time; and where one of a dozen rests for a second without
-# need, nothing is missed.
+# In a service of at least this size, one failure ejects a server. Each process sends a
+# server few requests, so three consecutive failures would take seconds, during which a
+# server that fails at once looks idle. One needlessly ejected server of a dozen is not
+# missed.
 MIN_SERVERS_FAST_EJECTION: Final = 12
 MAX_EJECTION_S: Final = 8.0
-# Longer than entries need to come back after the store does (about two seconds).
+# Time in seconds for entries to come back after an outage of the store. They need about
+# two seconds.
 LAPSE_S: Final = 2.6
-# Share of the time for which a leaving server still serves within which it may be used
-# if its service has no other.  The rest, one second of two, is for what comes on top:
-# the end of an entry is learned up to 0.2 s late, a channel may take 0.5 s to open.
+# Fraction of the drain time within which a leaving server may be used if its service
+# has no other. The other half, one of two seconds, covers the delay until the removal
+# is known (up to 0.2 s) and the opening of a connection (up to 0.5 s).
 LAST_RESORT_FRACTION: Final = 0.5
-# A report of load older than this, in seconds, says nothing any more.
+# Load reports older than this are ignored, in seconds.
 MAX_LOAD_AGE_S: Final = 1.0
-# How much an own request and one that others have at a server count.
+# Weights of this process's own requests and of the requests of other processes.
 OWN_REQUEST_WEIGHT: Final = 3.0
 OTHER_REQUEST_WEIGHT: Final = 0.3
-# Weight of a new measurement of a server's time in its running mean.
+# Weight of a new sample in the moving average of the response time.
 RESPONSE_TIME_WEIGHT: Final = 0.1
 
 
 class Server(NamedTuple):
-    """A backend server as its entry describes it.
+    """A backend server as described by its entry in the store.
 
     Attributes
     ----------
     id : str
-        Name of its entry; it may start again under the same one.
+        Name of its entry. A server may restart under the same name.
     born : int
-        Tells its starts apart; 0 if it does not say.
+        Distinguishes incarnations under the same id; 0 if not stated.
     slots : int
-        Requests that it works on at once.
+        Number of requests that it runs concurrently.
     draining : bool
-        It takes no new work.
+        Whether it accepts no new requests.
     cold_s : float
         Seconds for which it is still slow after its start.
     """
@@ -73,12 +76,12 @@
 
     @property
     def start(self) -> str:
-        """Name of one start of the server: channels belong to that."""
+        """Name of this incarnation of the server, the key of its connections."""
         return f"{self.id}.{self.born}"
 
 
 class Load(NamedTuple):
-    """Load that a server reported with an answer."""
+    """Load that a server reported with a response."""
 
     running: int
     waiting: int
@@ -86,7 +89,7 @@
 
 
 class ServerState:
-    """One server and what was learned about it."""
+    """State of one server as observed by this process."""
 
     def __init__(self, server: Server) -> None:
         self.server = server
@@ -105,18 +108,19 @@
         self.parts = KnownParts()
 
     def take_load(self, load: Load, now: float) -> None:
-        """Take a report of load."""
+        """Store a load report."""
         self._load = load
         self._load_at = now
         self._in_flight_at_report = self.open
 
     def load(self, now: float) -> float:
-        """Estimate the requests at the server, own and others'.
+        """Estimate the number of requests at the server from all processes.
 
-        Own requests are known exactly, reports are some answers old.  Relays that all
-        trust the reports pile onto the server that was emptiest a moment ago; relays
-        that each spread their own requests evenly spread the sum evenly too.  So an own
-        request stands for several, and what others have there counts little.
+        Own requests are known exactly, and reports are some responses old. If all
+        relays trusted the reports, they would overload the server that was least loaded
+        a moment ago. If each relay spreads its own requests evenly, the sum is even
+        too. Own requests therefore have a high weight and the requests of others a low
+        one.
         """
         own = OWN_REQUEST_WEIGHT * self.open
         if now - self._load_at > MAX_LOAD_AGE_S:
@@ -125,15 +129,15 @@
         return own + OTHER_REQUEST_WEIGHT * max(0, reported - self._in_flight_at_report)
 
     def removed_within(self, seconds: float, now: float) -> bool:
-        """Whether the entry vanished at most so many seconds ago."""
+        """Return whether the entry was removed at most `seconds` ago."""
         return self.removed_at is not None and now - self.removed_at <= seconds
 
     def takes_work(self) -> bool:
-        """Whether the server may get more of what it has begun."""
+        """Return whether the server may get further requests of a running program."""
         return not self.server.draining and self.removed_at is None
 
     def succeeded(self, seconds: float) -> None:
-        """Note a good answer and how long it took."""
+        """Record a successful response and its duration in seconds."""
         self.failures = 0
         self.ejection_s = REST_S
         if self.mean_response_s == 0.0:
@@ -141,12 +145,12 @@
         self.mean_response_s += RESPONSE_TIME_WEIGHT * (seconds - self.mean_response_s)
 
     def failed(self, now: float, max_failures: int = FAILURES_TO_REST) -> bool:
-        """Note a failure; True if the server rests from now on.
+        """Record a failure; return whether it ejects the server.
 
         Parameters
         ----------
         max_failures : int
-            Failures in a row after which it does.
+            Consecutive failures that eject the server.
         """
         self.failures += 1
         if self.failures < max_failures:
@@ -158,7 +162,7 @@
 
 
 class _Partition(NamedTuple):
-    """Servers of a service that take work, and those that vanished."""
+    """Servers of a service whose entry is present, and those whose entry is removed."""
 
     available: list[ServerState]
     removed: list[ServerState]
@@ -170,32 +174,32 @@
     Parameters
     ----------
     drain_s : float
-        Seconds for which a server that has left still serves.
+        Seconds for which a server still serves after it has left.
     """
 
     def __init__(self, drain_s: float = 2.0) -> None:
-        # Set by who follows the store: it is away, or has just come back.
+        # Set by the store client while the store is unreachable or has just come back.
         self.store_unsure = False
         self._last_resort_s = LAST_RESORT_FRACTION * drain_s
         self._servers: dict[str, ServerState] = {}
         self._by_service: dict[str, list[ServerState]] = {}
-        # By service: those that take work, and those that vanished.  Worked out anew
-        # after a change; with 1,500 servers a look at each cost more than the request.
+        # Cached partition of the servers of each service. With 1,500 servers, checking
+        # each server per request cost more than the request itself.
         self._partitions: dict[str, _Partition] = {}
 
     def __len__(self) -> int:
         return len(self._servers)
 
     def get(self, server_id: str) -> ServerState | None:
-        """Return a known server."""
+        """Return a known server, or None."""
         return self._servers.get(server_id)
 
     def put(self, server: Server) -> Server | None:
-        """Take a new or changed entry; return the start that it takes the place of.
+        """Add or update an entry; return the incarnation that it replaces, or None.
 
-        A server that starts again under its id holds and knows nothing of before.  If
-        its old load, failures and known parts stayed, requests would go round an empty
-        server, or to one that has to read again what it is counted on to hold.
+        A restarted server has lost its load and its caches. If the old load, failures
+        and known prompt segments stayed, requests would avoid an idle server, or go to
+        one for a prompt that it no longer has cached.
         """
         state = self._servers.get(server.id)
         if state is not None and _is_same_incarnation(state.server, server):
@@ -213,14 +217,14 @@
         return replaced
 
     def remove(self, server_id: str, now: float, *, lapsed: bool = False) -> None:
-        """Take the end of an entry.
+        """Remove an entry.
 
         Parameters
         ----------
         lapsed : bool
-            It may have ended only because the store was away: it was missing in the
-            first answer after that.  What ends later has left, and a server that has
-            left must get nothing for longer than it serves.
+            Whether its lease may have expired only because of an outage of the store:
+            it was missing from the first listing after the outage. A server whose entry
+            is removed later has left, and must get no requests after its drain time.
         """
         state = self._servers.get(server_id)
         if state is not None and state.removed_at is None:
@@ -229,20 +233,20 @@
             self._partitions.pop(state.server.service, None)
 
     def keep_only(self, present: set[str], now: float) -> None:
-        """Take a full listing: what is not in it has vanished."""
+        """Remove all servers that a full listing does not contain."""
         for server_id in self._servers:
             if server_id not in present:
                 self.remove(server_id, now, lapsed=self.store_unsure)
 
     def failed(self, state: ServerState, now: float) -> None:
-        """Note that a server failed; it may rest."""
+        """Record a failure of a server, which may eject it."""
         service_size = len(self._by_service.get(state.server.service, []))
         state.failed(
             now, 1 if service_size >= MIN_SERVERS_FAST_EJECTION else FAILURES_TO_REST
         )
 
     def expire(self, now: float) -> list[Server]:
-        """Forget servers that vanished long ago and have nothing under way."""
+        """Drop servers that were removed long ago and have no requests in flight."""
         gone = [
             state
             for state in self._servers.values()
@@ -255,16 +259,16 @@
         return [state.server for state in gone]
 
     def usable(self, service: str, now: float) -> list[ServerState]:
-        """Servers that may get new work.
+        """Return the servers that may get new requests.
 
-        Resting servers are left out unless that leaves none: a wrong suspicion of all
-        of them must not stop a service.
+        Ejected servers are excluded unless that leaves none, as a wrong suspicion of
+        all servers must not stop a service.
 
         Returns
         -------
         list of ServerState
-            Not to be changed.  The same object as before if nothing has changed, so
-            that what follows from it can be kept.
+            Must not be modified. The same object as in the last call if nothing has
+            changed, so that callers can cache derived results.
         """
         available, removed = self._partition(service)
         if removed:
@@ -292,17 +296,18 @@
         available = available + [s for s in removed if self._may_come_back(s, now)]
         gone = [s for s in removed if s.removed_within(self._last_resort_s, now)]
         gone = [s for s in gone if s not in available]
-        # One entry that ends means a server that leaves, most of a service's do not.
+        # A single removed entry means a leaving server. If most entries of a service
+        # are removed during an outage, their servers have probably not left.
         if not available or (self.store_unsure and len(gone) > len(available)):
             available = available + gone
         return available
 
     def _may_come_back(self, state: ServerState, now: float) -> bool:
-        """Whether an entry vanished only because the store was away, and may be back.
+        """Return whether an entry expired in a store outage and may still come back.
 
-        One that vanishes after that, also shortly after, is not counted: used beside
-        others for 1.4 s after that was learned, a server got a request later than the
-        two seconds for which it still serves.
+        An entry that is removed later is excluded, even shortly after the outage: a
+        leaving server that stayed in use for 1.4 s after its removal was known got a
+        request after the two seconds for which it still served.
         """
         unsure = self.store_unsure and state.lapsed
         return unsure and state.removed_within(LAPSE_S, now)
--- a/wisteriastair/core/hashing.py
+++ b/wisteriastair/core/hashing.py
@@ -1,8 +1,8 @@
-"""Choices that every process must make alike, and ids.
+"""Rendezvous hashing and ids that every process must compute alike.
 
-Rendezvous hashing lets all processes agree on who does a job without talking:
-each ranks the candidates by a hash of job and candidate.  When a candidate goes,
-only its own jobs move.
+With rendezvous hashing all processes agree on an assignment without communication: each
+ranks the candidates by a hash of item and candidate. If a candidate is removed, only
+its own items move.
 """
 
 from __future__ import annotations
@@ -14,32 +14,32 @@
 
 
 def hash_word(*parts: str) -> int:
-    """Hash of strings as an unsigned 64-bit number."""
+    """Return an unsigned 64-bit hash of strings."""
     state = blake2b("\x00".join(parts).encode(), digest_size=HASH_BYTES)
     return int.from_bytes(state.digest(), "big")
 
 
 def rank(item: str, candidates: Iterable[str]) -> list[str]:
-    """Order candidates by rendezvous hash, the chosen one first."""
+    """Order candidates by rendezvous hash of the item, the chosen one first."""
     return sorted(candidates, key=lambda name: hash_word(item, name), reverse=True)
 
 
 def program_id(customer: str, key: str) -> str:
-    """Id of the program for a customer's idempotency key.
+    """Return the id of the program for a customer's idempotency key.
 
-    The same key always gives the same program, through whichever entry it comes, so
-    a repeated request joins the program instead of starting a second one.
+    The same key gives the same program through every entry process. A repeated request
+    thus joins the program and does not start a second one.
     """
     state = blake2b(f"{customer}\x00{key}".encode(), digest_size=16)
     return state.hexdigest()
 
 
 def slot_of(program: str, slots: int) -> int:
-    """Slot of a program; sub-agents live in their parent's slot."""
+    """Return the slot of a program; sub-agents share the slot of their parent."""
     root = program.split(".", 1)[0]
     return hash_word("slot", root) % slots
 
 
 def address_of(member: str) -> str:
-    """Address part of a member id (``address#incarnation``)."""
+    """Return the address of a member id (``address#incarnation``)."""
     return member.split("#", 1)[0]
--- a/wisteriastair/core/quota.py
+++ b/wisteriastair/core/quota.py
@@ -1,20 +1,20 @@
-"""Quotas of customers: how much they may ask of all relays together, and who says so.
-
-The load pattern: a customer's callers reach any relay, move between failure domains,
-and may send many times their usual.  Relays see only their own share of it.  So a
-request of a customer with a quota needs a permit, and the permits of a customer come
-from a few keepers, its holders, chosen alike by all by rendezvous hashing.  Each holder
-owns an equal part of the quota and gives permits out of a token bucket of its own, so
-that one lost holder takes only its part away and no two have to agree.
-
-A holder that restarts remembers nothing and begins with an empty bucket.  Over any span
-it has given out at most what one full bucket holds and what flows in meanwhile, restart
-or not, so a burst is not handed out twice.  A member that becomes a holder waits until
-the one before it has learned that it no longer is one, and then begins empty.
-
-Programs need many requests, and one refused near its end has cost all that ran before.
-So requests of programs under way come first: a new program is let in only while the
-quota carries the requests that programs have needed of late.
+"""Customer quotas: token buckets at a few keepers, the quota holders.
+
+Load pattern: the callers of a customer reach any relay, move between failure domains,
+and may send many times their usual load. Each relay sees only a part of it. A request
+of a customer with a quota therefore needs a permit from one of the customer's holders,
+which all processes choose alike by rendezvous hash. Each holder owns an equal part of
+the quota as a token bucket of its own. The loss of a holder thus costs only its part of
+the quota, and holders need no agreement.
+
+A holder restarts with an empty bucket, as it has no record of its permits. Over any
+time span it grants at most one full bucket plus the inflow, with or without a restart,
+so a burst is not granted twice. A new holder waits until its predecessor has learned of
+the change, and also starts with an empty bucket.
+
+A program needs many requests, and a request rejected near its end wastes all work done
+before. Requests of running programs therefore have precedence: a new program is
+admitted only while the quota covers the requests that recent programs have needed.
 """
 
 from __future__ import annotations
@@ -28,47 +28,50 @@
 from .hashing import hash_word
 from .membership import Member, over_domains
 
-# Holders of one customer: with one lost, two thirds of the quota are still there.
+# Maximum number of holders per customer. With one of three lost, two thirds of the
+# quota remain.
 MAX_HOLDERS: Final = 3
-# Longest time from a permit to the arrival of its request at a server, in seconds.
+# Longest time in seconds from a permit to the arrival of its request at a server.
 USE_S: Final = 0.3
-# Share of the tolerated excess that permits may use up.  The rest is for requests that
-# run on a second server, and for clocks that differ.
+# Fraction of the tolerated excess that permits may use. The rest is for requests that
+# run on a second server, and for clock differences.
 TOLERANCE_FRACTION: Final = 0.8
-# A permit is given ahead of time by at most this, in seconds; the relay waits for it.
-# A refused caller would take longer to come back.
+# Maximum time in seconds before its validity at which a permit is granted; the relay
+# waits until it is valid. A rejected caller would take longer to come back.
 AHEAD_S: Final = 0.5
-# A new holder waits this long, in seconds: more than its predecessor takes to hear of
-# the new list, or to notice that it hears most members no more.
+# Wait of a new holder in seconds. It exceeds the time in which its predecessor receives
+# the new member list, or notices that it has lost contact to most members.
 HANDOVER_S: Final = 2.5
-# A member that was no holder for this long, in seconds, was not replaced: less than
-# `HANDOVER_S` by more than lists take to get to all members, twice.
+# A holder that was absent for at most this long, in seconds, was not replaced. It is
+# shorter than `HANDOVER_S` by more than twice the time in which lists reach all
+# members.
 MAX_GAP_S: Final = 1.0
-# Lists of members that are remembered, to tell since when this one is a holder.
+# Maximum number of stored member lists, from which the start of a holder's term is
+# found.
 MAX_MEMBER_LISTS: Final = 16
-# A program that has asked for nothing for this long counts as ended, in seconds.
+# Seconds without a request after which a program counts as ended.
 PROGRAM_IDLE_S: Final = 6.0
-# Requests that a program of a kind not met before is taken to need.
+# Requests that a program of an unknown kind is expected to need.
 INITIAL_ESTIMATE: Final = 12.0
-# Weight of a newly ended program in what its kind is taken to need.
+# Weight of an ended program in the moving average of its kind.
 ESTIMATE_WEIGHT: Final = 0.1
-# Kinds of programs that are told apart.
+# Maximum number of program kinds with an estimate of their own.
 MAX_KINDS: Final = 256
-# Programs remembered by one customer; the least recently seen yield.
+# Maximum number of programs stored per customer; the least recently seen are evicted.
 MAX_PROGRAMS: Final = 4096
 
 
 class QuotaBounds(NamedTuple):
-    """How the operators judge quotas.
+    """Criteria by which the operators judge quotas.
 
     Attributes
     ----------
     window_s : float
-        Length of the spans that count.
+        Length of the measured time windows in seconds.
     over : float
-        Share by which a span may exceed the quota.
+        Fraction by which a window may exceed the quota.
     slack : float
-        Requests by which it may exceed it besides.
+        Number of requests by which it may exceed the quota in addition.
     """
 
     window_s: float = 1.0
@@ -77,7 +80,7 @@
 
 
 class Allowance(NamedTuple):
-    """What the holders of a customer may give out.
+    """Part of a customer's quota that each of its holders may grant.
 
     Attributes
     ----------
@@ -93,24 +96,25 @@
 
 
 class Answer(IntEnum):
-    """How a holder answers."""
+    """Outcome of a permit request."""
 
     GRANTED = 0
-    # The quota, or what programs under way need of it, is used up.
+    # The quota is used up, or reserved for running programs.
     SPENT = 1
-    # This process is no holder of the customer, or cannot know whether it is.
+    # This process is not a holder of the customer's quota, or cannot be sure that it
+    # is.
     NOT_MINE = 2
 
 
 class Permit(NamedTuple):
-    """A holder's answer.
+    """Response of a holder to a permit request.
 
     Attributes
     ----------
     wait_s : float
-        Seconds until the permit counts, or until it is worth asking again.
+        Seconds until the permit is valid, or until a retry is useful.
     not_started : bool
-        Whether the program may not begin, however soon its first request could run.
+        Whether a new program is rejected, however soon its first request could run.
     """
 
     answer: Answer
@@ -120,11 +124,11 @@
 
 @lru_cache(maxsize=4096)
 def allowance(quota: Quota, bounds: QuotaBounds) -> Allowance:
-    """Work out the parts of a customer's holders.
+    """Derive the token bucket of each holder from a customer's quota.
 
-    What arrives in a window was permitted in a span longer by `USE_S`.  A bucket gives
-    out its depth and what flows in, so the depth is what the window may hold less the
-    inflow of that span; the parts of all holders add up to it.
+    Requests that arrive in a window got their permits in a span longer by `USE_S`. A
+    bucket grants its depth plus the inflow, so the total depth is the window's limit
+    less the inflow of that span, divided among the holders.
     """
     rate, burst = quota
     allowed = rate * bounds.window_s + burst
@@ -139,7 +143,7 @@
 def holders_of(
     members: tuple[Member, ...], customer: str, count: int
 ) -> tuple[Member, ...]:
-    """Choose a customer's holders, in different failure domains where there are any."""
+    """Choose a customer's holders, spread over failure domains if possible."""
     order = sorted(
         members, key=lambda m: hash_word("quota", customer, m.name), reverse=True
     )
@@ -147,29 +151,29 @@
 
 
 def asking_order(holders: tuple[Member, ...], program: str) -> list[Member]:
-    """Order in which holders are asked for a program's permits.
+    """Return the order in which holders are asked for a program's permits.
 
-    Every relay begins with the same one, which then knows the program.
+    All relays start with the same holder, which therefore knows the program.
     """
     return sorted(holders, key=lambda m: hash_word("permit", program, m.name))
 
 
 class _Bucket:
-    """A token bucket; what it lacks is negative."""
+    """A token bucket; a negative level is a deficit."""
 
     def __init__(self, level: float, now: float) -> None:
         self.level = level
         self._at = now
 
     def refill(self, rate_per_s: float, depth: float, now: float) -> None:
-        """Let in what has come since the last call."""
+        """Add the inflow since the last call."""
         added = rate_per_s * max(0.0, now - self._at)
         self.level = min(depth, self.level + added)
         self._at = max(self._at, now)
 
 
 class _ProgramUsage(NamedTuple):
-    """A program that was let in: its requests, and those that were set aside for it."""
+    """An admitted program, with its granted and its reserved requests."""
 
     kind: str
     requests: int
@@ -178,17 +182,17 @@
 
 
 class _RequestEstimates:
-    """How many requests programs of each kind have needed of late."""
+    """Moving average of the requests that programs of each kind need."""
 
     def __init__(self) -> None:
         self._means: dict[str, float] = {}
 
     def estimate(self, kind: str) -> float:
-        """Return what a program of a kind needs; the kinds are few."""
+        """Return the expected requests of a program of this kind."""
         return self._means.get(kind, INITIAL_ESTIMATE)
 
     def add_sample(self, kind: str, requests: int) -> None:
-        """Take what an ended program has needed."""
+        """Add the number of requests of an ended program."""
         if not kind or (kind not in self._means and len(self._means) >= MAX_KINDS):
             return
         mean = self.estimate(kind)
@@ -196,7 +200,7 @@
 
 
 class _CustomerAccount:
-    """A customer at one of its holders."""
+    """State of a customer at one of its holders."""
 
     def __init__(self, bucket: Allowance, held_from: float, now: float) -> None:
         held_s = max(0.0, now - held_from)
@@ -204,14 +208,14 @@
         self.list_number = -1
         self.permits = _Bucket(min(bucket.depth, bucket.rate_per_s * held_s), now)
         self.admissions = _Bucket(self.permits.level, now)
-        # By program, the one seen last at the end.
+        # Ordered by last request, most recent last.
         self.programs: OrderedDict[str, _ProgramUsage] = OrderedDict()
 
     def resume(self, bucket: Allowance, held_from: float, now: float) -> None:
-        """Begin again after a gap in which others may have given permits.
+        """Start a new term after a gap in which others may have granted permits.
 
-        What was given before it still counts: a list that changes many times in a
-        second would otherwise fill the bucket each time.
+        Permits granted before the gap still count. Otherwise a member list that changes
+        many times per second would fill the bucket each time.
         """
         self.held_from = held_from
         self.permits.refill(bucket.rate_per_s, bucket.depth, now)
@@ -221,22 +225,22 @@
     def admit_program(
         self, program: str, kind: str, expected_requests: float, now: float
     ) -> None:
-        """Note a program that is let in, and set aside what it will need."""
+        """Add an admitted program and reserve its expected requests."""
         self.admissions.level -= expected_requests
         self.programs[program] = _ProgramUsage(kind, 0, expected_requests, now)
 
     def record_request(self, program: str, now: float) -> None:
-        """Note a permitted request of a program."""
+        """Record a permitted request of a program."""
         known = self.programs.pop(program, _ProgramUsage("", 0, 0.0, now))
         count = known.requests + 1
-        # One that needs more than was set aside leaves less for the next.
+        # Requests beyond the reservation reduce the capacity for new programs.
         shortfall = max(0.0, count - known.reserved) if known.kind else 0.0
         self.admissions.level -= shortfall
         reserved = known.reserved + shortfall
         self.programs[program] = _ProgramUsage(known.kind, count, reserved, now)
 
     def expire_programs(self, estimates: _RequestEstimates, now: float) -> None:
-        """Give back what ended programs have not needed, and learn from them."""
+        """Remove ended programs, release unused reservations, update the estimates."""
         while self.programs:
             name, oldest = next(iter(self.programs.items()))
             if (
@@ -251,18 +255,18 @@
 
 
 class QuotaHolder:
-    """Gives permits for the customers whose holder this member is.
+    """Grants permits for the customers whose quota holder this member is.
 
     Parameters
     ----------
     me : Member
         This process.
     bounds : QuotaBounds
-        How quotas are judged.
+        Criteria by which quotas are judged.
     members : tuple of Member
-        The list of members when the process began.
+        Member list at the start of the process.
     now : float
-        Seconds of a clock that never goes back.
+        Time of a monotonic clock in seconds.
     """
 
     def __init__(
@@ -273,15 +277,16 @@
         self._customers: dict[str, Customer] = {}
         self._accounts: dict[str, _CustomerAccount] = {}
         self._estimates = _RequestEstimates()
-        # Lists of members and since when each is known, the newest last.  The first was
-        # in force when the process before this one, if any, had already ended.
+        # Member lists with the time at which each became known, newest last. When the
+        # first one took effect, any previous process of this member had already ended.
         self._member_lists = [(members, now)]
         self._list_number = 0
-        # When the number of a customer's holders changed.
+        # Time until which a changed number of a customer's holders delays this holder's
+        # term.
         self._handover_until: dict[str, float] = {}
 
     def configure(self, customers: dict[str, Customer], now: float) -> None:
-        """Take the customers of a newer configuration."""
+        """Apply the customers of a newer configuration."""
         for name, customer in customers.items():
             before = self._customers.get(name)
             if before is None or before.quota is None or customer.quota is None:
@@ -290,7 +295,7 @@
                 continue
             buckets = [allowance(c.quota, self._bounds) for c in (before, customer)]
             if buckets[0].holders != buckets[1].holders:
-                # One that comes in must not give out again what the others have.
+                # An added holder must not grant again what the others have granted.
                 self._handover_until[name] = now + HANDOVER_S
                 self._list_number += 1
         self._customers = customers
@@ -298,7 +303,7 @@
             del self._accounts[name]
 
     def take_members(self, members: tuple[Member, ...], now: float) -> None:
-        """Take a newer list of members."""
+        """Apply a newer member list."""
         if members == self._member_lists[-1][0]:
             return
         self._member_lists.append((members, now))
@@ -308,16 +313,16 @@
     def ask(
         self, customer: str, program: str, kind: str, ahead: bool, now: float
     ) -> Permit:
-        """Give a permit for one request, or not.
+        """Grant or reject a permit for one request.
 
         Parameters
         ----------
         program : str
-            What the request belongs to; empty for a request by itself.
+            Program of the request; empty for a single request.
         kind : str
             Kind of the program if this may be its first request; else empty.
         ahead : bool
-            Whether a permit that counts a little later will do.
+            Whether a permit that becomes valid a little later is accepted.
         """
         known = self._customers.get(customer)
         if known is None:
@@ -331,7 +336,7 @@
         account.permits.refill(bucket.rate_per_s, bucket.depth, now)
         account.admissions.refill(bucket.rate_per_s, bucket.depth, now)
         account.expire_programs(self._estimates, now)
-        # One that has just begun to hold cannot tell new programs from those under way.
+        # A new holder cannot tell new programs from running ones.
         knows_programs = now - account.held_from > PROGRAM_IDLE_S
         is_new = knows_programs and bool(kind) and program not in account.programs
         if (is_new or not program) and account.admissions.level <= 0:
@@ -353,7 +358,7 @@
     def _account(
         self, customer: str, bucket: Allowance, now: float
     ) -> _CustomerAccount | None:
-        """Return the account of a customer; None if this is no holder, or not yet."""
+        """Return the account of a customer; None if this is not (yet) a holder."""
         account = self._accounts.get(customer)
         if account is not None and account.list_number == self._list_number:
             return account
@@ -370,10 +375,10 @@
         return account
 
     def _held_since(self, customer: str, count: int) -> float | None:
-        """Return since when this member may act as a holder, without a gap.
+        """Return the start of this member's current term as a holder, or None.
 
-        A gap that was too short for anybody to act in its place is none: when several
-        members fall out of the list and come back one by one, all holders of a customer
+        A gap too short for another member to act as a holder is ignored. If several
+        members drop out of the list and come back one by one, all holders of a customer
         would otherwise wait for each other.
         """
         held_from: float | None = None
--- a/wisteriastair/core/reach.py
+++ b/wisteriastair/core/reach.py
@@ -1,45 +1,45 @@
-"""Whether a set of peers can be reached, judged by the requests sent to them.
-
-The load pattern: a process is cut off from all replicas of the ledger while callers go
-on sending.  Without a judgement each request waits out its own limit, and the platform
-goes on sending callers here.  After one request has failed and none has succeeded for a
-moment, requests are refused at once and the process reports itself not ready; a
-probe a few times a second finds out when the way is open again.  One lost replica never
-fails a request, so this does not act on ordinary losses.
+"""Reachability of a set of peers, judged by the requests sent to them.
+
+Load pattern: a process is partitioned from all replicas of the ledger while callers go
+on sending requests. Without this check, each request waits for its timeout and the
+platform keeps sending callers to this process. After a failed request without a recent
+success, requests are rejected at once and the process reports itself as not ready. A
+probe a few times per second detects when the peers are reachable again. The loss of a
+single replica never fails a request, so it does not trigger this.
 """
 
 from __future__ import annotations
 
 from typing import Final
 
-# A success within this time, in seconds, outweighs a failure: the failed request may
-# have met replicas that were just being replaced.
+# A success within this time in seconds outweighs a failure, as the failed request may
+# have met replicas that were being replaced.
 SUCCESS_VALID_S: Final = 0.4
-# A probe is sent if nothing succeeded for this time, in seconds.
+# Seconds without a success after which a probe is due.
 PROBE_AFTER_S: Final = 0.4
 
 
 class Reach:
-    """The judgement for one set of peers; they count as there until a failure."""
+    """State of one set of peers, which count as reachable until a failure."""
 
     def __init__(self) -> None:
         self.away = False
         self._last_success_at = float("-inf")
 
     def succeeded(self, now: float) -> bool:
-        """Note a success; True if the peers were away before."""
+        """Record a success; return whether the peers were unreachable before."""
         self._last_success_at = now
         was_unreachable = self.away
         self.away = False
         return was_unreachable
 
     def failed(self, now: float) -> bool:
-        """Note a failure; True if the peers count as away from now on."""
+        """Record a failure; return whether the peers become unreachable by it."""
         if self.away or now - self._last_success_at < SUCCESS_VALID_S:
             return False
         self.away = True
         return True
 
     def wants_probe(self, now: float) -> bool:
-        """Whether to find out now."""
+        """Return whether a probe is due."""
         return now - self._last_success_at >= PROBE_AFTER_S
--- a/wisteriastair/core/reuse.py
+++ b/wisteriastair/core/reuse.py
@@ -1,13 +1,14 @@
-"""What of a prompt a backend server has read before, as far as this process knows.
+"""Estimate of the prompt segments that backend servers have cached.
 
-The load pattern: turns of one program come one after another, each prompt beginning
-with all that was said before.  A server that ran the turn before reads only what is
-new.  A process knows what it sent to a server itself, part by part with its tokens.
+Load pattern: the turns of a program follow one another, and each prompt starts with the
+whole conversation so far. The server that ran the previous turn computes only the new
+tokens. A process knows the segments, with their tokens, that it has sent to each
+server.
 
-Callers move between processes, and the relay that gets the next turn knows nothing of
-the program.  So all agree on a server for it by rendezvous hash of the program's first
-own part, and count that server as having read the prompt.  Else most of it would be
-read again on another server.
+Callers move between processes, and the relay that gets the next turn may know nothing
+of the program. All processes therefore choose the same server for a program by
+rendezvous hash of its first private segment, and assume that this server has the prompt
+cached. Without this, another server would compute most of the prompt again.
 """
 
 from __future__ import annotations
@@ -19,24 +20,25 @@
 
 from .hashing import hash_word
 
-# Parts remembered for one server: the turns of some minutes at 2.4 a second.
+# Maximum number of segments stored per server: the turns of some minutes at 2.4 turns
+# per second.
 MAX_SEGMENTS: Final = 512
-# Servers that are compared for a program; of more, only those that follow the program's
-# place in the order of their hashes.
+# Maximum number of servers ranked for a program. Of more servers, only those that
+# follow the program's hash on the hash ring are ranked.
 MAX_RANKED: Final = 64
-# The parts before this one are shared with other programs.
+# Index of the first segment that belongs to one program only.
 FIRST_PRIVATE: Final = 1
 
 
 class PromptPart(NamedTuple):
-    """A part of a prompt; the last ones belong to the program or its line of turns."""
+    """A segment of a prompt. The last ones belong to one program or session."""
 
     id: str
     tokens: int
 
 
 class KnownParts:
-    """Parts that one server has read, with their tokens; the oldest are forgotten."""
+    """Segments that one server has probably cached; the oldest are evicted."""
 
     def __init__(self) -> None:
         self._tokens: dict[str, int] = {}
@@ -48,7 +50,7 @@
         return len(self._tokens)
 
     def note(self, segments: Iterable[PromptPart]) -> None:
-        """Note that a server has read a prompt."""
+        """Add the segments of a prompt that the server has computed."""
         for segment in segments:
             self._tokens[segment.id] = max(
                 segment.tokens, self._tokens.pop(segment.id, 0)
@@ -59,14 +61,15 @@
     def missing_fraction(
         self, segments: tuple[PromptPart, ...], total: int = 0
     ) -> float:
-        """Share of a prompt's tokens that the server would have to read.
+        """Return the fraction of a prompt's tokens that the server has to compute.
 
-        A part counts only if all before it are there too, as in the server's cache.
+        As in the server's prefix cache, a segment counts only if all segments before it
+        are cached too.
 
         Parameters
         ----------
         total : int
-            Tokens of all parts, if they have been added up already.
+            Tokens of all segments if already known, else 0.
         """
         total = total or sum(segment.tokens for segment in segments)
         if total <= 0:
@@ -83,12 +86,12 @@
 
 
 def agreed_server(segments: tuple[PromptPart, ...], servers: tuple[str, ...]) -> str:
-    """Id of the server that all processes take for a program's; empty for none.
+    """Return the server that all processes choose for a program; empty for none.
 
     Parameters
     ----------
     servers : tuple of str
-        Ids of the servers that may get work.
+        Ids of the servers that may get requests.
     """
     if len(segments) <= FIRST_PRIVATE or not servers:
         return ""
--- a/wisteriastair/core/routes.py
+++ b/wisteriastair/core/routes.py
@@ -1,7 +1,7 @@
-"""The operators' configuration: routes, services and limits, and the choice of a route.
+"""The operators' configuration of routes, services and limits; route lookup.
 
-The route of a request is the one with the longest prefix of its path among the routes
-of its host.  A route that is split between services gives each its share of requests.
+A request gets the route with the longest matching path prefix among the routes of its
+host. A route may split its requests between several services by weight.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class RequestKind(Enum):
-    """What may be repeated."""
+    """Determines whether and how a request may be retried."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -25,7 +25,7 @@
 
 
 class Share(NamedTuple):
-    """A service and its weight among the requests of a route."""
+    """A service and its weight in the traffic split of a route."""
 
     service: str
     weight: float
@@ -37,27 +37,27 @@
     Attributes
     ----------
     host, prefix : str
-        What selects it; the host is in lower case.
+        Host in lower case and path prefix that select the route.
     shares : tuple of Share
         Services that answer, at least one.
     timeout_s : float
-        Seconds after which a request gets its final answer; 0 for no limit.
+        Seconds after which a request gets its final response; 0 for no limit.
     aim_s : float
-        Seconds within which an answer is on time.
+        Seconds within which a response is on time.
     rank : int
         Urgency; 0 is the most urgent.
     max_servers : int
-        Servers on which one request may be run.
+        Maximum number of servers on which one request may run.
     keeps_history : bool
-        A turn carries only its new input; the system adds what was said before.
+        A turn contains only its new input; the system adds the conversation so far.
     retention_s : float
-        Seconds for which turns and budgets are kept.
+        Seconds for which turns and budgets are stored.
     resumable : bool
-        A stream may go on at another server after its last event.
+        A stream may be resumed on another server after its last event.
     gap_s : float
-        Longest pause between events that is still on time.
+        Longest pause in seconds between events that are on time.
     is_open : bool
-        Requests need no key.
+        Requests need no API key.
     """
 
     name: str
@@ -78,11 +78,11 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether the same request may run twice."""
+        """Return whether the same request may run twice."""
         return self.kind is RequestKind.SAFE
 
     def service_for(self, request_id: str) -> str:
-        """Choose the service of a request by its share; stable for a request id."""
+        """Choose a service by weight; the same request id gives the same service."""
         if len(self.shares) == 1:
             return self.shares[0].service
         total = sum(share.weight for share in self.shares)
@@ -95,12 +95,12 @@
 
 
 class EngineTraits(NamedTuple):
-    """What the configuration says of the engines of a service.
+    """Configured properties of a service's engines.
 
     Attributes
     ----------
     slots : int
-        Requests in one batch.
+        Maximum number of requests in one batch.
     memory_tokens : int
         Tokens that fit into the memory of one engine.
     tokens_per_event : int
@@ -113,12 +113,12 @@
 
 
 class Service(NamedTuple):
-    """A service; `engine` is None if it is a plain one.
+    """A service; `engine` is None for a plain service.
 
     Attributes
     ----------
     max_connections : int
-        Connections that one server takes from all callers together.
+        Maximum number of connections to one server from all callers together.
     """
 
     name: str
@@ -127,7 +127,7 @@
 
 
 class CallerLimits(NamedTuple):
-    """What a caller may send, and how long it may take or stay idle, in seconds."""
+    """Limits of a caller's request sizes (bytes) and timeouts (seconds)."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -141,15 +141,14 @@
     Parameters
     ----------
     version : int
-        Grows with each change; a lower one never replaces a higher one.
+        Increases with each change. A lower version never replaces a higher one.
     customers : Customers or None
-        Who may ask; None where no key is asked for.
+        Customers with API keys; None if no key is required.
 
     Attributes
     ----------
     longest_s : float
-        The longest time that any route gives a request, in seconds; infinite if one
-        has no limit.
+        Longest timeout of any route in seconds; infinite if a route has no limit.
     """
 
     def __init__(
@@ -173,10 +172,10 @@
         )
 
     def find(self, host: str, path: str) -> Route | None:
-        """Find the route of a request.
+        """Return the route of a request, or None.
 
-        Every prefix begins and ends with a slash, so it is enough to look up each
-        part of the path that ends with one, the longest first.
+        Every route prefix starts and ends with a slash, so it is enough to look up the
+        parts of the path that end with a slash, longest first.
         """
         routes = self._by_host.get(host)
         if routes is None:
--- a/wisteriastair/core/silence.py
+++ b/wisteriastair/core/silence.py
@@ -1,50 +1,51 @@
-"""When a server that says nothing is given up for another one.
-
-The load pattern: one server of a plain service takes requests and answers none, while
-the others answer in milliseconds.  A request that may be repeated would wait there for
-all the time that its caller has, and the caller's program fails with it.  So it goes to
-another server once it has waited for several times what answers of the service usually
-take.  Under load all answers take longer, and so does that wait; besides, only a small
-share of requests is ever repeated, since an overloaded service can bear no repeats.
+"""Timeout per attempt and retry budget for plain services.
+
+Load pattern: one server of a plain service accepts requests and answers none, while the
+others answer in milliseconds. A repeatable request would wait there until the caller's
+timeout and fail the caller's program. It is therefore retried on another server after
+several times the mean response time of the service. Under load the mean response time
+rises, and so does the timeout. A retry budget limits retries to a small fraction of the
+requests, since an overloaded service cannot handle them.
 """
 
 from __future__ import annotations
 
 from typing import Final
 
-# A server is silent after so many times the usual answer of its service, and not before
-# this many seconds: single answers take several times the mean.
+# An attempt times out after this multiple of the service's mean response time, and not
+# before the minimum in seconds. Single responses take several times the mean.
 TIMEOUT_FACTOR: Final = 6.0
 MIN_TIMEOUT_S: Final = 0.25
-# Weight of a new answer in what is usual.
+# Weight of a new sample in the moving average of the response time.
 RESPONSE_TIME_WEIGHT: Final = 0.05
-# Share of the requests that may be repeated for silence, and how many at once.
+# Retries earned per request, and the maximum number of saved retries.
 RETRY_FRACTION: Final = 0.1
 MAX_RETRY_BUDGET: Final = 10.0
 
 
 class Silence:
-    """What is usual at each service, and how many repeats are left."""
+    """Mean response time of each service, and the remaining retry budget."""
 
     def __init__(self) -> None:
         self._mean_response_s: dict[str, float] = {}
         self._retry_budget = MAX_RETRY_BUDGET
 
     def asked(self) -> None:
-        """Note a request, which earns its share of a repeat."""
+        """Record a request, which adds to the retry budget."""
         self._retry_budget = min(MAX_RETRY_BUDGET, self._retry_budget + RETRY_FRACTION)
 
     def answered(self, service: str, seconds: float) -> None:
-        """Note how long a server took for a whole answer."""
+        """Record the time of a complete response in seconds."""
         mean_s = self._mean_response_s.setdefault(service, seconds)
         self._mean_response_s[service] = mean_s + RESPONSE_TIME_WEIGHT * (
             seconds - mean_s
         )
 
     def limit_s(self, service: str) -> float | None:
-        """Return after how many seconds a server of a service is silent.
+        """Return the timeout of an attempt in seconds.
 
-        None if that is not known, or if nothing may be repeated now.
+        None if the response time of the service is unknown or the retry budget is used
+        up.
         """
         mean_s = self._mean_response_s.get(service)
         if mean_s is None or self._retry_budget < 1.0:
@@ -52,5 +53,5 @@
         return max(MIN_TIMEOUT_S, TIMEOUT_FACTOR * mean_s)
 
     def repeated(self) -> None:
-        """Note that a request is sent once more."""
+        """Record a retry, which uses the budget."""
         self._retry_budget -= 1.0
