--- a/wisteriastair/core/admission.py
+++ b/wisteriastair/core/admission.py
@@ -1,9 +1,9 @@
-"""Callers' requests at the carrier: start, attach, cancel, list.
+"""Callers' requests at the primary: start, attach, cancel, list.
 
-A request for a program that exists joins it, so a repeated request is harmless.  A
-new program is admitted only while there is room; otherwise it is refused at once,
-truthfully as not run, with a time to come back.  Programs under way are never refused
-here: finishing what has begun is what counts.
+A request for an existing program joins it, so a repeated request is harmless. A new
+program is admitted only while there is capacity. Otherwise it is rejected at once as
+not run, with a time to retry. Requests for running programs are never rejected for lack
+of capacity, as finishing them has precedence.
 """
 
 from __future__ import annotations
@@ -38,18 +38,18 @@
 
 
 class Admission:
-    """Takes callers' requests.
+    """Handles callers' requests.
 
     Parameters
     ----------
     me : str
         Member id, for the operators' listing.
     carrier, programs, slots, dispatcher, out
-        The parts it works with.
+        Components that it uses.
     max_active : int
-        Programs under way at once on this carrier.
+        Maximum number of running programs on this primary.
     max_wait_s : float
-        Predicted seconds of waiting over which a new program is refused; 0 for none.
+        Predicted wait in seconds above which a new program is rejected; 0 for none.
     """
 
     def __init__(
@@ -79,7 +79,7 @@
         self._finish_rate_per_s = 0.0
 
     def on_start(self, sender: str, start: ProgramStart, now: float) -> None:
-        """Start a program, or join the one that the same key started."""
+        """Start a program, or join the program that the same key started."""
         if not self._is_serving(sender, start.request, start.slot):
             return
         run = self._programs.by_name.get(start.program)
@@ -126,7 +126,7 @@
     def _check_overload(
         self, start: ProgramStart, config: Config, now: float
     ) -> Failure | None:
-        """Refuse what would only wait, so that what has begun can finish."""
+        """Reject programs that would only wait, so that running ones can finish."""
         if self._programs.active >= self._max_active:
             self.refused += 1
             detail = f"{self._programs.active} programs under way here"
@@ -154,7 +154,7 @@
         return None
 
     def _retry_after_s(self) -> float:
-        """Seconds until a place is likely to be free, from the recent rate."""
+        """Estimate the seconds until capacity is free, from the recent finish rate."""
         excess = max(1, self._programs.active - self._max_active + 1)
         if self._finish_rate_per_s <= 0:
             return 5.0
@@ -196,7 +196,7 @@
         if known is None or known.reply_to != sender:
             known = Subscriber(request, sender, number, offset, stream)
         elif (number, offset) < (known.number, known.offset):
-            # The entry has less than was sent to it, so something was lost.
+            # The entry process has received less than was sent, so messages were lost.
             known.number, known.offset = number, offset
         run.subscribe(known, now)
 
@@ -224,7 +224,7 @@
     def _find(
         self, sender: str, message: ProgramAttach | ProgramCancel
     ) -> Running | None:
-        """Return the customer's program; without one, the sender is told."""
+        """Return the customer's program, or send a failure and return None."""
         if not self._is_serving(sender, message.request, message.slot):
             return None
         run = self._programs.by_name.get(message.program)
@@ -238,12 +238,11 @@
         if slot in self._carrier.lost_slots:
             detail = "the slot's earlier state was lost"
             return Failure(Code.OUTCOME_UNKNOWN, detail, "unknown")
-        # An id may also be unknown because its program ended long ago, so "not run"
-        # would be a guess.
+        # The program may also have ended long ago, so "not run" cannot be claimed.
         return Failure(Code.UNKNOWN_PROGRAM, "no such program", "unknown")
 
     def on_cancel(self, sender: str, cancel: ProgramCancel, now: float) -> None:
-        """End a program at its caller's wish."""
+        """Cancel a program at the request of its caller."""
         run = self._find(sender, cancel)
         if run is None:
             return
@@ -254,7 +253,7 @@
         self._send_state(sender, run, cancel.request)
 
     def on_list(self, sender: str, query: ListPrograms, now: float) -> None:
-        """List the programs carried here."""
+        """List the programs whose primary this process is."""
         rows = [
             self._row(run, now)
             for _, run in sorted(self._programs.by_name.items())
@@ -284,7 +283,7 @@
         )
 
     def tick(self, now: float) -> None:
-        """Measure how fast programs finish."""
+        """Update the rate at which programs finish."""
         if now - self._window_start >= RATE_WINDOW_S:
             finished = self._carrier.finished - self._window_finished
             self._finish_rate_per_s = finished / RATE_WINDOW_S
--- a/wisteriastair/core/balance.py
+++ b/wisteriastair/core/balance.py
@@ -1,10 +1,11 @@
-"""Which process holds what: placing slots and keeping the load even.
-
-Slots without a row, or whose members are all gone, are placed by one process.  After
-that, carriers move their own slots: the lead to a standby that leads clearly fewer, one
-at a time, and copies to a process that holds clearly fewer.  Of the processes it
-does not share a slot with, a carrier looks at one at a time, chosen at random, so the
-cost does not grow with the fleet and not all move to the same one.
+"""Placement of slots on processes, and load balancing between them.
+
+Slots without a row, or with all members down, are placed by one process. After that,
+primaries move their own slots: the primary role to a standby that is primary of clearly
+fewer slots, one slot at a time, and replicas to a process that has clearly fewer. Of
+the processes with which it shares no slot, a primary examines one at a time, chosen at
+random. The cost therefore does not grow with the number of processes, and the slots do
+not all move to the same process.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 from .slots import Slots
 
 BALANCE_INTERVAL_S: Final = 1.0
-# Each look at a process outside the partners opens a connection, so it is rare.
+# Each sample of a process that shares no slot opens a connection, so it is rare.
 SAMPLE_INTERVAL_S: Final = 3.0
 MIN_PRIMARY_GAP: Final = 2
 MIN_REPLICA_GAP: Final = 3
@@ -29,14 +30,14 @@
 
 
 class Balance:
-    """Places and evens out slots.
+    """Places slots and balances them between processes.
 
     Parameters
     ----------
     me : str
         Member id of this process.
     slots, placement, peers
-        The parts it works with.
+        Components that it uses.
     """
 
     def __init__(
@@ -55,7 +56,7 @@
         self._all_down_since: dict[int, float] = {}
 
     def tick(self, now: float) -> None:
-        """Move or place, if it is time."""
+        """Balance and place slots at their intervals."""
         if self._peers.draining:
             return
         if now >= self._balance_at:
@@ -69,10 +70,11 @@
             self._place_slots(now)
 
     def _balance_primaries(self) -> None:
-        """Hand one slot to a standby that leads clearly fewer.
+        """Hand one slot over to a standby that is primary of clearly fewer slots.
 
-        After a takeover one process leads all that its partner led; without this it
-        would go on doing the work of two while the replacement only copies.
+        After a takeover one process is primary of all slots of its partner. Without
+        this it would keep doing the work of two, while the replacement is only a
+        standby.
         """
         carried = self._slots.carried()
         for number in carried:
@@ -85,9 +87,9 @@
                 return
 
     def _balance_replicas(self, now: float) -> None:
-        """Move copies to a process that holds clearly fewer than their standby.
+        """Move replicas to a process that has clearly fewer than their standby.
 
-        Processes that came after the slots were placed would otherwise stay empty.
+        Processes that joined after the slots were placed would otherwise remain empty.
         """
         member = self._peers.sample(now)
         peer_count = self._peers.held_of(member)
@@ -103,10 +105,10 @@
                 peer_count += MIN_REPLICA_GAP
 
     def _place_slots(self, now: float) -> None:
-        """Place slots that have no row, or whose members are all gone.
+        """Place slots that have no row, or with all members down.
 
-        One process, the first by rendezvous hash among those listed, proposes; the
-        compare-and-swap settles it if two believe they are first.
+        One process proposes, the first of the listed ones by rendezvous hash. If two
+        processes both consider themselves first, the compare-and-swap decides.
         """
         sides = self._peers.sides()
         addresses = [i.address for i in sides]
@@ -114,7 +116,8 @@
         if own_address not in addresses or rank("place", addresses)[0] != own_address:
             return
         if addresses != self._listed_addresses:
-            # A fleet that is starting: what is placed now would have to move again.
+            # The processes are still starting. Slots placed now would have to move
+            # again.
             self._listed_addresses = addresses
             self._listed_since = now
         if now - self._listed_since < LIST_STABLE_S:
@@ -135,10 +138,11 @@
             self._place(number, self._placement.rows.get(number), domains)
 
     def _needs_placement(self, number: int, now: float) -> bool:
-        """Whether a slot has no members left.
+        """Return whether a slot has no members left.
 
-        Being silent is no evidence: a region that is cut off keeps serving.  Only the
-        instance list, or a new incarnation at the address, shows that one is gone.
+        An unresponsive member is not proof of failure, as a partitioned region
+        continues to serve. Only the instance list or a new incarnation at the same
+        address proves that a member is down.
         """
         row = self._placement.rows.get(number)
         if row is None:
--- a/wisteriastair/core/dispatch.py
+++ b/wisteriastair/core/dispatch.py
@@ -1,7 +1,7 @@
-"""From a step of a program to a call at a gate.
+"""Dispatch of a program's calls to gates.
 
-Knows which servers may take a call, what each is believed to have cached and how
-loaded it is, and leaves the choice to the router.
+Tracks which servers can take a call, what each probably has cached and how loaded it
+is. The router makes the choice.
 """
 
 from __future__ import annotations
@@ -21,13 +21,14 @@
 SPEED_WEIGHT: Final = 0.2
 MIN_MEASURED_SERVERS: Final = 3
 SLOW_FACTOR: Final = 2.0
-# Prompt tokens that an engine computes in the time of one output token, roughly.
+# Approximate number of prompt tokens that an engine computes in the time of one output
+# token.
 PREFILL_PER_DECODE: Final = 200
 MAX_PREFIXES: Final = 4_096
 
 
 class Place(NamedTuple):
-    """Where a call goes: a server and the gate incarnation before it."""
+    """Destination of a call: a server and the incarnation of its gate."""
 
     server: str
     gate: str
@@ -35,7 +36,7 @@
 
 
 class _ServerView:
-    """What is known of one server."""
+    """Known state of one server."""
 
     def __init__(self) -> None:
         self.load: ServerLoad | None = None
@@ -51,9 +52,9 @@
     Parameters
     ----------
     router : Router
-        The rule.
+        Routing policy.
     peers : Peers
-        For the gates' incarnations.
+        Source of the gates' incarnations.
     """
 
     def __init__(self, router: Router, peers: Peers) -> None:
@@ -67,7 +68,7 @@
     def place_model(
         self, program: Program, service: Service, config: Config, avoid: str, now: float
     ) -> Place | None:
-        """Choose a server for the next model call; None if there is none now."""
+        """Choose a server for the next model call; None if none is available."""
         for model in service.models:
             servers = self._servers(config, "model", model, avoid, now)
             if servers:
@@ -77,7 +78,7 @@
     def place_tool(
         self, program: Program, provider: str, config: Config, avoid: str, now: float
     ) -> Place | None:
-        """Choose a plain server for a tool call."""
+        """Choose a plain server for a tool call; None if none is available."""
         servers = self._servers(config, "plain", provider, avoid, now)
         if not servers:
             return None
@@ -85,17 +86,17 @@
         return self._choose(program, service, provider, servers, now)
 
     def serves_any(self, service: Service, config: Config) -> bool:
-        """Whether any active server serves the service."""
+        """Return whether any active server serves the service."""
         return any(
             server.state == "active" and set(server.serves) & set(service.models)
             for server in config.servers.values()
         )
 
     def expected_wait_s(self, service: Service, config: Config, now: float) -> float:
-        """Seconds that a new program's first call would wait at the best server.
+        """Predict the wait of a new program's first call at the best server.
 
-        0 if nothing recent is known: a carrier that has heard of no queue must not
-        refuse because of one.
+        The result is in seconds, and 0 without recent reports: a primary that knows of
+        no queue must not reject a program because of one.
         """
         waits = []
         for server in config.servers.values():
@@ -114,10 +115,10 @@
         return Candidate(server, 0, load, view.sent_since, extra_s)
 
     def _extra_s(self, view: _ServerView) -> float:
-        """Seconds by which a server has lately been slower than the middle one.
+        """Return by how many seconds a server was recently slower than the median.
 
-        A server that answers slowly need not have a long queue.  The penalty ends
-        when its last report is old, so that it is tried again now and then.
+        A slow server need not have a long queue. The penalty ends when its last report
+        expires, so that the server is tried again from time to time.
         """
         known = sorted(v.token_s for v in self._views.values() if v.token_s > 0)
         if len(known) < MIN_MEASURED_SERVERS or view.token_s <= 0:
@@ -130,7 +131,7 @@
     def _servers(
         self, config: Config, kind: str, target: str, avoid: str, now: float
     ) -> dict[str, str]:
-        """Active servers of a kind with the member id of their gate."""
+        """Return active servers of a kind with the member ids of their gates."""
         found: dict[str, str] = {}
         for server in config.servers.values():
             if server.kind != kind or server.state != "active":
@@ -178,9 +179,9 @@
     ) -> Candidate:
         """Describe a server to the router.
 
-        For a first call, what other programs with the same beginning had cached there
-        is the estimate; until this process has seen one, the servers that all
-        processes prefer for that beginning are taken to have it.
+        For a first call, the estimate is what other programs with the same prefix had
+        cached on the server. Until this process has seen such a program, the servers
+        that all processes prefer for the prefix are assumed to have it cached.
         """
         candidate = self._candidate_load(server, now)
         if program.last_tokens == 0:
@@ -193,12 +194,12 @@
         return candidate
 
     def learn(self, program: Program, result: CallResult, now: float) -> None:
-        """Take a server's load and what it had cached from a result."""
+        """Record the load and the cached tokens that a result reports."""
         view = self._views.setdefault(result.server, _ServerView())
         view.load = result.load
         view.load_at = now
-        # The report was made when the call ended; calls sent since then that are
-        # still under way are in it, so counting them again would scare callers off.
+        # The report dates from the end of the call and includes later calls that are
+        # still running. Counting them again would overestimate the load.
         view.sent_since = 0
         if result.status == "ok" and program.call is not None:
             _record_speed(view, result, now - program.call.intended_at)
@@ -209,7 +210,7 @@
         service = program.start.service
         known = self._service_prefix_tokens.get(service, 0)
         self._service_prefix_tokens[service] = max(known, result.cached_tokens)
-        # After this call the server has at least the shared beginning cached.
+        # After this call the server has at least the shared prefix cached.
         tokens = max(result.cached_tokens, self._service_prefix_tokens[service])
         key = (_prefix_hash(program), result.server)
         self._prefix_tokens.pop(key, None)
@@ -219,7 +220,7 @@
 
 
 def _record_speed(view: _ServerView, result: CallResult, elapsed_s: float) -> None:
-    """Smooth the time of a call, whole and for each token that it computed."""
+    """Update the moving averages of the time per call and per computed token."""
     if result.completion_tokens == 0:
         return
     computed = result.prompt_tokens - result.cached_tokens
@@ -231,5 +232,5 @@
 
 
 def _prefix_hash(program: Program) -> int:
-    """Tell programs that begin alike, and so share a cached prefix, by a hash."""
+    """Return a hash of the prompt's start; equal hashes share a cached prefix."""
     return hash_word("prefix", program.start.prompt[:PREFIX_CHARS])
--- a/wisteriastair/core/ordering.py
+++ b/wisteriastair/core/ordering.py
@@ -1,9 +1,9 @@
-"""Which waiting call a gate dispatches next.
+"""Order in which a gate dispatches waiting calls.
 
-Callers wait for the end of a program, not of a call.  The order is therefore by
-program: service priority first, then the program that began first, so that what has
-begun is finished before more is begun.  Serving the program with the least service so
-far was tried and did not earn its place (docs/design/policy.md).
+Callers wait for the end of a program, not of a call. Calls are therefore ordered by
+program: by service priority, then by the start of the program, so that running programs
+finish before new ones start. Preferring the program with the least service so far
+brought no benefit (docs/design/policy.md).
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Waiting(NamedTuple):
-    """A call in a gate's queue."""
+    """A call in the queue of a gate."""
 
     priority: int
     queued_at: float
@@ -21,26 +21,26 @@
 
 
 class Order(ABC):
-    """Sorts a queue."""
+    """Sort order of a queue."""
 
     @abstractmethod
     def key(self, call: Waiting, now: float) -> tuple[float, ...]:
-        """Sort key: the smallest goes first."""
+        """Return the sort key of a call; the smallest key goes first."""
 
 
 class Fifo(Order):
     """Baseline: first come, first served."""
 
     def key(self, call: Waiting, now: float) -> tuple[float, ...]:
-        """Arrival time."""
+        """Return the arrival time."""
         return (call.queued_at,)
 
 
 class OldestProgram(Order):
-    """Finish what was begun first."""
+    """Oldest program first, within its priority."""
 
     def key(self, call: Waiting, now: float) -> tuple[float, ...]:
-        """Priority, then the program's start."""
+        """Return the negated priority and the start of the program."""
         return (-call.priority, call.program_since)
 
 
@@ -48,5 +48,5 @@
 
 
 def make_order(name: str) -> Order:
-    """Build an order by its name in the settings."""
+    """Create an order by its name in the settings."""
     return Fifo() if name == "fifo" else OldestProgram()
--- a/wisteriastair/core/placement.py
+++ b/wisteriastair/core/placement.py
@@ -1,15 +1,15 @@
 """The slot table: reading it, and changing it by compare-and-swap.
 
-The table is cut into segments, one key each.  A process gathers the rows it wants
-changed and writes all rows of a segment in one compare-and-swap, so the loss of a
-process that was a member of many slots costs the platform's service one read and one
-write per segment and surviving partner, and nothing at rest.
-
-A row is only ever proposed by a process that the present row names (or, for slots
-that are not placed or have lost all members, by one chosen process), and its epoch
-is the present one plus one.  A write whose answer was lost is never assumed: the
-segment is read back, and the row either carries this process's proposal or it does
-not.
+The table is split into segments, one key each. A process collects its proposed rows and
+writes all rows of a segment in one compare-and-swap. The loss of a process that was a
+member of many slots thus costs the platform's key-value service one read and one write
+per segment and surviving partner, and an idle system costs nothing.
+
+A row is only proposed by a process that the current row names (or, for slots that are
+not placed or have lost all members, by one chosen process), and its epoch is the
+current one plus one. A write whose response was lost is never assumed to have
+succeeded: the segment is read again, and the row either contains this process's
+proposal or does not.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 def segment_key(slot: int, segments: int) -> str:
-    """Key of the segment that holds a slot's row."""
+    """Return the key of the segment that contains a slot's row."""
     return f"{SEGMENT_PREFIX}{slot % segments}"
 
 
@@ -50,14 +50,14 @@
 
 
 def decode_rows(value: bytes) -> dict[int, Row]:
-    """Decode a segment; no bytes are an empty one."""
+    """Decode a segment; an empty value is an empty segment."""
     if not value:
         return {}
     return {row.slot: row for row in _ROWS.decode(value)}
 
 
 class _Segment:
-    """Proposals for one segment and the call to the service under way."""
+    """Proposals for one segment, and its pending call to the service."""
 
     def __init__(self) -> None:
         self.proposals: dict[int, Row] = {}
@@ -86,28 +86,28 @@
         self._segments = {f"{SEGMENT_PREFIX}{n}": _Segment() for n in range(segments)}
 
     def owns(self, key: str) -> bool:
-        """Whether a key is a segment of the table."""
+        """Return whether a key is a segment of the table."""
         return key in self._segments
 
     def propose(self, row: Row) -> None:
-        """Ask for a row; it is proposed until the table has a later epoch."""
+        """Propose a row until the table has a row with a later epoch."""
         key = segment_key(row.slot, self.segments)
         self._segments[key].proposals[row.slot] = row
 
     def withdraw(self, slot: int) -> None:
-        """Take a proposal back; a write of it already under way may still win."""
+        """Withdraw a proposal; a write of it that is in progress may still succeed."""
         segment = self._segments[segment_key(slot, self.segments)]
         segment.proposals.pop(slot, None)
 
     def settle(self, slot: int, epoch: int) -> None:
-        """Drop a proposal that the table has overtaken."""
+        """Remove a proposal that the table has superseded."""
         segment = self._segments[segment_key(slot, self.segments)]
         row = segment.proposals.get(slot)
         if row is not None and row.epoch <= epoch:
             del segment.proposals[slot]
 
     def take(self, value: bytes) -> list[Row]:
-        """Take a confirmed segment; rows newer than those known are returned."""
+        """Apply a confirmed segment; return the rows newer than the known ones."""
         newer = []
         for slot, row in decode_rows(value).items():
             known = self.rows.get(slot)
@@ -118,7 +118,7 @@
         return newer
 
     def tick(self, now: float) -> list[Effect]:
-        """Begin a read for every segment with something to propose."""
+        """Start a read for every segment with proposals."""
         effects: list[Effect] = []
         for key, segment in self._segments.items():
             idle = now >= segment.busy_until and now >= segment.retry_at
@@ -128,7 +128,7 @@
         return effects
 
     def on_answer(self, event: Event, now: float) -> list[Effect]:
-        """Go on after an answer of the key-value service."""
+        """Continue after a response of the key-value service."""
         match event:
             case KvValue(key, revision, value):
                 return self._swap(key, revision, value, now)
@@ -159,10 +159,10 @@
         return [KvSwap(key, revision, encode_rows(rows))]
 
     def _back_off(self, key: str, now: float) -> None:
-        """Wait longer after each failure, with jitter against herds.
+        """Increase the delay after each failure, with jitter.
 
-        Many processes propose at once when a failure domain goes.  Without jitter
-        they would collide again in every round.
+        Many processes propose at once when a failure domain fails. Without jitter they
+        would conflict again in every round.
         """
         segment = self._segments[key]
         segment.busy_until = 0.0
--- a/wisteriastair/core/routing.py
+++ b/wisteriastair/core/routing.py
@@ -1,12 +1,12 @@
-"""Which backend server gets a call.
+"""Choice of a backend server for a call.
 
-The load that servers report lags behind, and many processes choose at once.  A
-process therefore corrects the last report by what it has itself sent since, and
-compares costs in seconds: the wait for a place, and the time to compute the part of
-the prompt that the server does not have cached.  A program stays where its prefix is
-cached until the queue there costs more than computing it anew elsewhere.
+Reported loads lag behind, and many processes choose at once. A process therefore
+corrects the last report by the calls that it has sent since. It compares costs in
+seconds: the wait for a free slot, and the time to compute the part of the prompt that
+the server does not have cached. A program stays where its prefix is cached until the
+queue there costs more than computing the prefix elsewhere.
 
-The simpler rules that this one has to beat stay selectable by a setting.
+The simpler baseline policies can be selected by a setting.
 """
 
 from __future__ import annotations
@@ -18,23 +18,23 @@
 from .wire import ServerLoad
 
 CROWDING_FRACTION: Final = 0.1
-# Seconds of computing a prompt again count more than seconds of waiting, since they
-# also slow every other call on that server.  Measured: docs/design/policy.md.
+# A second of recomputing a prompt costs more than a second of waiting, as it also slows
+# all other calls on the server (docs/design/policy.md).
 WASTE_BASE: Final = 1.0
 WASTE_SLOPE: Final = 6.0
 
 
 class EngineModel(NamedTuple):
-    """What a call costs on an engine, for comparing servers.
+    """Cost model of calls on an engine, for comparing servers.
 
     Attributes
     ----------
     prefill_tokens_s : float
-        Prompt tokens computed a second by one server.
+        Prompt tokens that one server computes per second.
     call_s : float
-        Typical seconds that a running call keeps its place.
+        Typical duration of a running call in seconds.
     slots : int
-        Calls that one server runs at once.
+        Number of calls that one server runs concurrently.
     """
 
     prefill_tokens_s: float = 8_000.0
@@ -43,18 +43,18 @@
 
 
 class Candidate(NamedTuple):
-    """A server that may take the call.
+    """A server that can take the call.
 
     Attributes
     ----------
     cached_tokens : int
-        Prompt tokens believed to be cached there.
+        Estimated number of prompt tokens cached there.
     load : ServerLoad or None
-        Newest report; None if there is none or it is too old.
+        Latest report; None if there is none or it has expired.
     sent_since : int
-        Calls this process has sent since that report and not had back.
+        Calls sent by this process since that report and still without a result.
     extra_s : float
-        Seconds that a call has lately taken longer here than on the middle server.
+        Seconds by which a call recently took longer here than on the median server.
     """
 
     server: str
@@ -65,7 +65,7 @@
 
 
 class Call(NamedTuple):
-    """What a router needs to know of a call."""
+    """Properties of a call that a router needs."""
 
     program: str
     service: str
@@ -75,19 +75,19 @@
 
 
 class Router(ABC):
-    """Chooses among candidates.
+    """Chooses one of the candidates.
 
     Parameters
     ----------
     engine : EngineModel
-        What calls cost.
+        Cost model of calls.
     """
 
     def __init__(self, engine: EngineModel) -> None:
         self.engine = engine
 
     def wait_s(self, candidate: Candidate) -> float:
-        """Predict the seconds that a call waits for a place on a server."""
+        """Predict the wait for a free slot on a server in seconds."""
         calls = _calls_at(candidate)
         ahead = max(0, calls - self.engine.slots + 1)
         return ahead * self.engine.call_s / self.engine.slots
@@ -98,10 +98,10 @@
 
 
 class RoundRobin(Router):
-    """Baseline: each in turn."""
+    """Baseline: each server in turn."""
 
     def choose(self, call: Call, candidates: list[Candidate]) -> Candidate:
-        """Choose by the running number of the call."""
+        """Choose by the sequence number of the call."""
         return candidates[call.sequence % len(candidates)]
 
 
@@ -109,24 +109,24 @@
     """Baseline: the shortest queue."""
 
     def choose(self, call: Call, candidates: list[Candidate]) -> Candidate:
-        """Choose the fewest calls, ties by hash."""
+        """Choose the server with the fewest calls; break ties by hash."""
         return min(candidates, key=lambda c: (_calls_at(c), _tie_break(call, c)))
 
 
 class AffinityOnly(Router):
-    """Baseline: where the prefix is cached, whatever the queue."""
+    """Baseline: the server with the cached prefix, regardless of its queue."""
 
     def choose(self, call: Call, candidates: list[Candidate]) -> Candidate:
-        """Choose the most cached tokens, then the service's own server."""
+        """Choose the most cached tokens; break ties by the program's hash order."""
         order = rank(call.program, [c.server for c in candidates])
         return max(candidates, key=lambda c: (c.cached_tokens, -order.index(c.server)))
 
 
 class CostRouter(Router):
-    """The chosen rule: least predicted seconds of waiting and recomputing."""
+    """Default policy: least predicted time of waiting and recomputing."""
 
     def choose(self, call: Call, candidates: list[Candidate]) -> Candidate:
-        """Choose the cheapest, ties by hash so that choosers spread."""
+        """Choose the cheapest; break ties by hash to spread processes over servers."""
         return min(candidates, key=lambda c: (self._cost(call, c), _tie_break(call, c)))
 
     def _cost(self, call: Call, candidate: Candidate) -> float:
@@ -134,7 +134,7 @@
         missing = max(0, call.prompt_tokens - candidate.cached_tokens)
         prefill_s = missing / engine.prefill_tokens_s
         waste_factor = WASTE_BASE + WASTE_SLOPE * call.waste_weight
-        # A fuller batch slows each call a little before any has to wait.
+        # A fuller batch slows down each call slightly before any call has to wait.
         calls = min(_calls_at(candidate), engine.slots)
         crowding_s = CROWDING_FRACTION * engine.call_s * calls / engine.slots
         busy_s = self.wait_s(candidate) + crowding_s + candidate.extra_s
@@ -156,7 +156,7 @@
 
 
 def make_router(name: str, engine: EngineModel) -> Router:
-    """Build a router by its name in the settings."""
+    """Create a router by its name in the settings."""
     match name:
         case "round-robin":
             return RoundRobin(engine)
--- a/wisteriastair/core/stopping.py
+++ b/wisteriastair/core/stopping.py
@@ -1,31 +1,31 @@
-"""When a process that was told to stop takes its last request.
+"""Times of a planned shutdown: when to stop accepting requests, and when to end.
 
-A stop has a fixed end: the platform kills the process once the grace period is over.
-Callers may keep coming until then, since a platform that finds most processes of a
-failure domain leaving goes on using all of them.  So the process itself has to say when
-it takes nothing more, early enough that what it has taken can end.
+A shutdown has a fixed deadline: the platform kills the process after the grace period.
+Callers may keep coming until then, since a platform that sees most processes of a
+failure domain leave continues to use all of them. The process itself must therefore
+stop accepting requests early enough for the accepted ones to end.
 """
 
 from __future__ import annotations
 
 from typing import Final, NamedTuple
 
-# Callers are served as ever for this long after the signal, in seconds: the platform
-# needs two questions, one a second, to notice that a process is leaving.
+# Seconds after the signal for which callers are served as before. The platform needs
+# two readiness checks, one per second, to notice that a process is leaving.
 NOTICE_S: Final = 2.5
-# Kept free before the kill that follows the grace period, in seconds.
+# Seconds left free before the kill at the end of the grace period.
 KILL_MARGIN_S: Final = 0.7
-# A request whose time is over still gets its final answer within this, in seconds.
+# Seconds within which a timed-out request still gets its final response.
 FINAL_ANSWER_S: Final = 0.1
 
 
 class Stop(NamedTuple):
-    """A planned stop under way.
+    """A planned shutdown in progress.
 
     Attributes
     ----------
     began : float
-        When the signal came, in seconds of the process's clock.
+        Time of the signal, in seconds of the process's clock.
     grace_s : float
         Seconds between the signal and the kill.
     """
@@ -35,27 +35,27 @@
 
     @property
     def ends_at(self) -> float:
-        """When whatever is still under way is broken off."""
+        """Time at which requests still in progress are aborted."""
         return self.began + max(0.0, self.grace_s - KILL_MARGIN_S)
 
     @property
     def noticed_at(self) -> float:
-        """When the platform can be expected to lead new callers elsewhere."""
+        """Time from which the platform is expected to send new callers elsewhere."""
         return min(self.began + NOTICE_S, self.ends_at)
 
     def last_call_at(self, longest_s: float) -> float:
-        """Return when the last request is taken.
+        """Return the time after which no request is accepted.
 
-        As late as whatever is taken can still use all of its time: callers that come
-        later are better off elsewhere, at once.  It is one moment for all routes, since
-        short requests that are taken beyond it would keep the process from ending, and
-        it refuses the others meanwhile.  Where requests may take longer than
-        the grace period the platform gets the time that it needs to notice, and those
-        that outlast the rest are broken off.
+        It is the latest time at which an accepted request still has its full timeout
+        left. Callers that come later are rejected at once, so that they can go
+        elsewhere. The time is the same for all routes: short requests accepted after it
+        would keep the process from ending. If requests may take longer than the grace
+        period, the time is when the platform has had time to notice, and requests that
+        take too long are aborted.
 
         Parameters
         ----------
         longest_s : float
-            The longest time that a request may take, in seconds.
+            Longest timeout of a request in seconds.
         """
         return max(self.noticed_at, self.ends_at - FINAL_ANSWER_S - longest_s)
--- a/wisteriastair/core/storetimes.py
+++ b/wisteriastair/core/storetimes.py
@@ -1,46 +1,48 @@
-"""How long calls of the platform's store may take, and the pauses between them.
+"""Timeouts of calls to the platform's store, and the retry backoff.
 
-A call that is sent while the store is silent is never answered, also after the store is
-back.  The process that sent it looks again only when the call's own time is over and
-the pause after it too.  Both together are therefore kept within the time after which a
-process that can reach the store again has to know what the store holds.
+A call sent while the store is unreachable is never answered, even after the store is
+back. The process retries only after the call's timeout and the backoff. The sum of both
+is therefore kept below the time within which a process that can reach the store again
+must have read it.
 """
 
 from __future__ import annotations
 
 from typing import Final, NamedTuple
 
-# What is left of that time for a new connection and for reading everything, in seconds.
+# Part of that time for a new connection and for reading everything, in seconds.
 READ_MARGIN_S: Final = 0.5
-# Pause after a first failed call, and the longest one, in seconds.
+# Backoff after a first failed call and its maximum, in seconds, and the maximum as a
+# fraction of that time.
 BACKOFF_S: Final = 0.25
 MAX_BACKOFF_S: Final = 1.0
 MAX_BACKOFF_FRACTION: Final = 0.4
-# A slow store answers after some hundred milliseconds: a call gets this time at least
-# and at most, in seconds.
+# Bounds of a call's timeout, in seconds. A slow store answers after some hundred
+# milliseconds.
 MIN_CALL_S: Final = 1.0
 MAX_CALL_S: Final = 2.5
-# How much later than it was to wait a watch is answered at the most, in seconds.
+# Time after the end of its wait within which a watch must be answered, and the bounds
+# of the wait, in seconds.
 WATCH_GRACE_S: Final = 0.8
 MIN_WATCH_S: Final = 0.2
 MAX_WATCH_S: Final = 2.0
 
 
 class StoreTimes(NamedTuple):
-    """Limits of calls and pauses, in seconds.
+    """Timeouts, waits and backoff in seconds.
 
     Attributes
     ----------
     call_s : float
-        How long any call but a watch may go unanswered.
+        Timeout of any call except a watch.
     watch_s : float
-        How long a watch waits when the call before it was answered.
+        Wait of a watch after a successful call.
     retry_watch_s : float
-        How long a watch waits after a call that failed.
+        Wait of a watch after a failed call.
     slack_s : float
-        How much later than it was to wait a watch is given up.
+        Time after its wait at which a watch times out.
     pause_s, pause_max_s : float
-        The pause after a first failed call; it doubles up to the second one.
+        Backoff after a first failed call; it doubles up to the maximum.
     """
 
     call_s: float
@@ -52,12 +54,12 @@
 
 
 def make_store_times(contact_s: float) -> StoreTimes:
-    """Derive the limits from the time that a process has to find the store again.
+    """Derive the timeouts from the time within which the store must be read again.
 
     Parameters
     ----------
     contact_s : float
-        Seconds after the store's return within which a process must know what it holds.
+        Seconds after the store's return within which a process must have read it.
     """
     budget_s = max(MIN_CALL_S, contact_s - READ_MARGIN_S)
     pause_max_s = min(MAX_BACKOFF_S, MAX_BACKOFF_FRACTION * budget_s)
--- a/wisteriastair/core/watchers.py
+++ b/wisteriastair/core/watchers.py
@@ -1,16 +1,16 @@
-"""Who watches the platform's store for everybody, and what the others hear of it.
-
-The store counts every call and every waiting watch.  If each process watched by
-itself, one change would cost as many calls as there are processes: 7,093 calls on a
-calm day of 84 processes.  So only a few keepers watch, chosen alike by all from the
-list of members, one more than may be lost at once and in different failure domains.
-They send what they hear to all who have subscribed.
-
-A watcher can be dead, frozen, cut off, or cut off from the store alone, and then says
-nothing or something old.  What it says therefore counts for a short time only, and a
-process that no watcher has confirmed to be up to date watches by itself, as long as
-that lasts.  Each message says after which revision its changes begin: whoever has
-missed one, or is told of a newer revision than it holds, sees that and does the same.
+"""Watching the platform's store on behalf of all processes.
+
+The store counts every call and every waiting watch. If each process watched by itself,
+one change would cost as many calls as there are processes: 7,093 calls on a calm day
+with 84 processes. Therefore only a few keepers watch. All processes choose them alike
+from the member list: one more than the number of failures to tolerate, in different
+failure domains. The watchers send the changes to all subscribers.
+
+A watcher can be down, frozen, partitioned, or partitioned from the store alone, and
+then sends nothing or outdated data. Its updates are therefore valid for a short time
+only. A process that no watcher has confirmed as up to date watches by itself until one
+does. Each update states the revision after which its changes start. A process that has
+missed a change, or learns of a newer revision, notices this and watches by itself too.
 """
 
 from __future__ import annotations
@@ -24,48 +24,49 @@
 from .ledgerwire import StoreNews, Subscribe
 from .membership import Member, View, holder_order, over_domains
 
-# A change has to be in force everywhere within a bound that the operators set.  A watch
-# waits a quarter of it at most, so that a calm store confirms itself four times within
-# the bound; what a watcher said counts for half of it; the other half is left for the
-# process's own call after that, and for what the connection held up (0.8 s at most).
+# A change must take effect everywhere within a bound that the operators set. A watch
+# waits for at most a quarter of the bound, so that an idle store is confirmed four
+# times within it. An update from a watcher is valid for half of the bound. The other
+# half is left for the process's own call after that, and for delays of the connection
+# (at most 0.8 s).
 WAITS_PER_BOUND: Final = 4.0
 VALIDITY_DIVISOR: Final = 2.0
-# A bound under this cannot be kept with calls that take some hundred milliseconds when
-# the store is slow, in seconds; taken at its word it would have watches end at once.
+# Minimum bound in seconds. A shorter one cannot be met while a slow store needs some
+# hundred milliseconds per call, and would make watches end at once.
 MIN_BOUND_S: Final = 1.0
-# A process that is told of a newer revision waits this long for the change itself, in
-# seconds.  Watchers gather changes for 0.2 s, so one may be that much after another.
+# Seconds for which a process that learns of a newer revision waits for the change
+# itself. Watchers collect changes for 0.2 s, so one may be that far behind another.
 CHANGE_GRACE_S: Final = 0.3
-# Watchers are chosen anew once the list of members has not changed for so long, in
-# seconds: longer than the pauses between members that join one after another.
+# Watchers are chosen again after the member list has been unchanged for this long, in
+# seconds. It is longer than the pauses between members that join one after another.
 MEMBERS_STABLE_S: Final = 2.0
-# Subscriptions are renewed this often and end after several missed renewals, in
-# seconds, so that one lost message costs nothing.
+# Interval at which subscriptions are renewed and their lease, in seconds. The lease
+# covers several renewals, so that one lost message has no effect.
 RENEW_S: Final = 1.0
 LEASE_S: Final = 4.0
 NEVER: Final = -math.inf
 
 
 class WatchTimes(NamedTuple):
-    """How long a watch of the store waits, and how long its word counts, in seconds."""
+    """Wait of a watch of the store, and validity of its result, in seconds."""
 
     wait_s: float
     limit_s: float
 
 
 def make_watch_times(bound_s: float) -> WatchTimes:
-    """Derive the times from the bound within which a change has to be in force."""
+    """Derive the times from the bound within which a change must take effect."""
     bound_s = max(MIN_BOUND_S, bound_s)
     return WatchTimes(bound_s / WAITS_PER_BOUND, bound_s / VALIDITY_DIVISOR)
 
 
 def watchers_of(view: View, losses: int) -> tuple[Member, ...]:
-    """Choose the members that watch: one more than may be lost, in different domains.
+    """Choose the watchers: one more than `losses`, in different failure domains.
 
     Parameters
     ----------
     losses : int
-        Members that may be lost at once.
+        Number of members that may fail at once.
     """
     by_name = {member.name: member for member in view.members}
     order = [by_name[name] for name in rank("store watch", by_name)]
@@ -73,7 +74,7 @@
 
 
 class _LastUpdate(NamedTuple):
-    """What a watcher said last."""
+    """Last update from a watcher."""
 
     at: float
     revision: int
@@ -81,18 +82,18 @@
 
 
 class Subscription:
-    """What a process hears from the watchers, and whether that is enough.
+    """Updates that a process gets from the watchers, and whether they suffice.
 
     Parameters
     ----------
     me : str
         Address of this process.
     domain : str
-        Its failure domain; values come from a watcher there if there is one.
+        Its failure domain. Values come from a watcher in it if there is one.
     losses : int
-        Members that may be lost at once.
+        Number of members that may fail at once.
     times : WatchTimes
-        How long the word of a watcher counts.
+        Validity of an update from a watcher.
     """
 
     def __init__(self, me: str, domain: str, losses: int, times: WatchTimes) -> None:
@@ -112,15 +113,15 @@
 
     @property
     def is_watcher(self) -> bool:
-        """Whether this process is one that watches for the others."""
+        """Whether this process watches the store for the others."""
         return self._me in self._watchers
 
     def set_view(self, view: View, now: float) -> None:
-        """Take the list of members that watchers are chosen from.
+        """Apply the member list from which the watchers are chosen.
 
-        At a start 24 keepers join one after another.  With watchers chosen anew each
-        time, every process went back to its own watch with each of them.  The word of
-        those that no longer watch counts for as long as it would have.
+        At startup 24 keepers join one after another. If the watchers were chosen again
+        each time, every process would fall back to its own watch each time. Updates of
+        former watchers remain valid for their usual time.
         """
         if view.members != self._members:
             self._members = view.members
@@ -138,8 +139,8 @@
     def due(self, now: float) -> list[tuple[str, Subscribe]]:
         """Return the subscriptions to send now.
 
-        Values are wanted from one watcher only: a large configuration from each of
-        three would fill a slow link.
+        Values are requested from one watcher only. A large configuration from each of
+        three watchers would saturate a slow link.
         """
         source = self._choose_source(now)
         if source == self._source and now < self._renew_at:
@@ -154,7 +155,7 @@
         return next(iter(fresh or self._watchers), "")
 
     def hear(self, sender: str, news: StoreNews, now: float) -> None:
-        """Note what a watcher says."""
+        """Record an update from a watcher."""
         address = address_of(sender)
         if address not in self._watchers:
             return
@@ -168,7 +169,7 @@
         self._track_lag(now)
 
     def holds(self, revision: int, now: float) -> None:
-        """Note the revision up to which this process knows all changes."""
+        """Set the revision up to which this process has applied all changes."""
         self._revision = revision
         self._track_lag(now)
 
@@ -186,10 +187,11 @@
         return now - last.at <= self.times.limit_s
 
     def covered_until(self, now: float) -> float:
-        """Return until when this process need not watch; in the past if it must now.
+        """Return the time until which this process need not watch by itself.
 
-        Any watcher that is in touch is enough, since none can say that it has heard
-        all without having done so.  One that lags is overruled by one that is ahead.
+        It lies in the past if the process must watch now. One watcher that is connected
+        to the store is enough, since its update confirms a revision only after it has
+        seen all changes up to it. A newer revision from another watcher overrides it.
         """
         if self.is_watcher:
             return NEVER
@@ -200,7 +202,7 @@
         return until
 
     def store_lost(self, now: float) -> bool:
-        """Whether watchers were heard a while ago, and all say that it is away."""
+        """Return whether all recent updates say that the store is unreachable."""
         recent = [
             h for h in self._last_updates.values() if now - h.at <= self.times.limit_s
         ]
@@ -210,37 +212,37 @@
 def make_subscription(
     me: str, domain: str, losses: int, bound_s: float
 ) -> Subscription:
-    """Make what a process needs to hear from the watchers.
+    """Create the subscription of a process to the watchers.
 
     Parameters
     ----------
     bound_s : float
-        Seconds within which a change of the store has to be in force.
+        Seconds within which a change of the store must take effect.
     """
     return Subscription(me, domain, losses, make_watch_times(bound_s))
 
 
 class Subscribers:
-    """Who is told of the store's changes by this process."""
+    """Processes that this process notifies of changes of the store."""
 
     def __init__(self) -> None:
         self._expires_at: dict[str, float] = {}
         self._wants_values: dict[str, bool] = {}
 
     def add(self, sender: str, request: Subscribe, now: float) -> bool:
-        """Take or renew a subscription; True if it is new."""
+        """Add or renew a subscription; return whether it is new."""
         is_new = sender not in self._expires_at
         self._expires_at[sender] = now + LEASE_S
         self._wants_values[sender] = request.values
         return is_new
 
     def any(self, now: float) -> bool:
-        """Whether anybody relies on this process."""
+        """Return whether there are subscribers."""
         self._expire(now)
         return bool(self._expires_at)
 
     def tell(self, news: StoreNews, now: float) -> list[tuple[str, StoreNews]]:
-        """Return the messages that carry some news to all subscribers."""
+        """Return an update addressed to each subscriber."""
         self._expire(now)
         without_values = (
             msgspec.structs.replace(news, changes=None) if news.changes else news
