--- a/wisteriastair/core/admission.py
+++ b/wisteriastair/core/admission.py
@@ -109,7 +109,7 @@
 
     def _check_admission(self, start: ProgramStart, now: float) -> Failure | None:
         if start.slot in self._carrier.lost_slots:
-            detail = "this key's earlier state was lost; a new key runs it for certain"
+            detail = "the state of this key was lost; a new key runs the request"
             return Failure(Code.OUTCOME_UNKNOWN, detail, "unknown")
         config = self._programs.config
         failure = _check_plain(start, config)
@@ -119,7 +119,7 @@
             return failure
         if not self._slots.may_append(start.slot):
             return Failure(
-                Code.NO_CARRIER, "the slot is moving", "no", SLOT_MOVE_RETRY_S
+                Code.NO_CARRIER, "the slot is being moved", "no", SLOT_MOVE_RETRY_S
             )
         return self._check_overload(start, config, now)
 
@@ -129,7 +129,7 @@
         """Reject programs that would only wait, so that running ones can finish."""
         if self._programs.active >= self._max_active:
             self.refused += 1
-            detail = f"{self._programs.active} programs under way here"
+            detail = f"{self._programs.active} programs are running on this process"
             return Failure(Code.OVERLOADED, detail, "no", self._retry_after_s())
         service = config.services.get(start.service)
         if start.operation or service is None or self._max_wait_s <= 0:
@@ -138,7 +138,7 @@
         if wait_s <= self._max_wait_s:
             return None
         self.refused += 1
-        detail = f"every server would keep it waiting {wait_s:.1f} s"
+        detail = f"the predicted wait is {wait_s:.1f} s or more"
         return Failure(Code.OVERLOADED, detail, "no", wait_s)
 
     def _check_program(self, start: ProgramStart, config: Config) -> Failure | None:
@@ -192,13 +192,13 @@
         stream: bool,
         now: float,
     ) -> None:
-        known = run.subscribers.get(request)
-        if known is None or known.reply_to != sender:
-            known = Subscriber(request, sender, number, offset, stream)
-        elif (number, offset) < (known.number, known.offset):
+        subscriber = run.subscribers.get(request)
+        if subscriber is None or subscriber.reply_to != sender:
+            subscriber = Subscriber(request, sender, number, offset, stream)
+        elif (number, offset) < (subscriber.number, subscriber.offset):
             # The entry process has received less than was sent, so messages were lost.
-            known.number, known.offset = number, offset
-        run.subscribe(known, now)
+            subscriber.number, subscriber.offset = number, offset
+        run.subscribe(subscriber, now)
 
     def _send_state(self, sender: str, run: Running, request: str) -> None:
         if run.program.ended is None:
@@ -236,7 +236,7 @@
 
     def _not_found(self, slot: int) -> Failure:
         if slot in self._carrier.lost_slots:
-            detail = "the slot's earlier state was lost"
+            detail = "the state of the slot was lost"
             return Failure(Code.OUTCOME_UNKNOWN, detail, "unknown")
         # The program may also have ended long ago, so "not run" cannot be claimed.
         return Failure(Code.UNKNOWN_PROGRAM, "no such program", "unknown")
@@ -317,9 +317,12 @@
 
 
 def _check_key_reuse(run: Running, start: ProgramStart) -> Failure | None:
-    known = run.program.start
-    same = (known.service, known.prompt) == (start.service, start.prompt)
-    if same and known.customer == start.customer:
+    definition = run.program.start
+    is_same_request = (definition.service, definition.prompt) == (
+        start.service,
+        start.prompt,
+    )
+    if is_same_request and definition.customer == start.customer:
         return None
     detail = "the idempotency key was used for another request"
     return Failure(Code.KEY_REUSED, detail)
--- a/wisteriastair/core/customers.py
+++ b/wisteriastair/core/customers.py
@@ -79,12 +79,12 @@
         for customer, digests in holders:
             self.by_name[customer.name] = customer
             for digest in digests:
-                holder = self._by_digest.setdefault(digest, customer)
-                if holder.name != customer.name:
+                owner = self._by_digest.setdefault(digest, customer)
+                if owner.name != customer.name:
                     # Requests with a key of two customers could run as the wrong
                     # customer, so the key is valid for neither.
                     shared_digests.add(digest)
-                    reason = f"a key is held by {holder.name} too"
+                    reason = f"a key also belongs to {owner.name}"
                     all_problems.append(CustomerProblem(customer.name, "keys", reason))
         for digest in shared_digests:
             del self._by_digest[digest]
--- a/wisteriastair/core/dispatch.py
+++ b/wisteriastair/core/dispatch.py
@@ -120,10 +120,10 @@
         A slow server need not have a long queue. The penalty ends when its last report
         expires, so that the server is tried again from time to time.
         """
-        known = sorted(v.token_s for v in self._views.values() if v.token_s > 0)
-        if len(known) < MIN_MEASURED_SERVERS or view.token_s <= 0:
+        token_times_s = sorted(v.token_s for v in self._views.values() if v.token_s > 0)
+        if len(token_times_s) < MIN_MEASURED_SERVERS or view.token_s <= 0:
             return 0.0
-        median_s = known[len(known) // 2]
+        median_s = token_times_s[len(token_times_s) // 2]
         if view.token_s < SLOW_FACTOR * median_s:
             return 0.0
         return view.call_s * (1.0 - median_s / view.token_s)
@@ -132,7 +132,7 @@
         self, config: Config, kind: str, target: str, avoid: str, now: float
     ) -> dict[str, str]:
         """Return active servers of a kind with the member ids of their gates."""
-        found: dict[str, str] = {}
+        gates: dict[str, str] = {}
         for server in config.servers.values():
             if server.kind != kind or server.state != "active":
                 continue
@@ -145,10 +145,10 @@
             if not member or self._peers.silent(member, now):
                 continue
             if not self._peers.is_draining(member):
-                found[server.name] = member
-        if len(found) > 1:
-            found.pop(avoid, None)
-        return found
+                gates[server.name] = member
+        if len(gates) > 1:
+            gates.pop(avoid, None)
+        return gates
 
     def _choose(
         self,
@@ -208,8 +208,8 @@
 
     def _record_prefix(self, program: Program, result: CallResult) -> None:
         service = program.start.service
-        known = self._service_prefix_tokens.get(service, 0)
-        self._service_prefix_tokens[service] = max(known, result.cached_tokens)
+        previous = self._service_prefix_tokens.get(service, 0)
+        self._service_prefix_tokens[service] = max(previous, result.cached_tokens)
         # After this call the server has at least the shared prefix cached.
         tokens = max(result.cached_tokens, self._service_prefix_tokens[service])
         key = (_prefix_hash(program), result.server)
--- a/wisteriastair/core/fleet.py
+++ b/wisteriastair/core/fleet.py
@@ -122,11 +122,13 @@
         too. Own requests therefore have a high weight and the requests of others a low
         one.
         """
-        own = OWN_REQUEST_WEIGHT * self.open
+        own_load = OWN_REQUEST_WEIGHT * self.open
         if now - self._load_at > MAX_LOAD_AGE_S:
-            return own
+            return own_load
         reported = self._load.running + self._load.waiting
-        return own + OTHER_REQUEST_WEIGHT * max(0, reported - self._in_flight_at_report)
+        return own_load + OTHER_REQUEST_WEIGHT * max(
+            0, reported - self._in_flight_at_report
+        )
 
     def removed_within(self, seconds: float, now: float) -> bool:
         """Return whether the entry was removed at most `seconds` ago."""
@@ -247,16 +249,16 @@
 
     def expire(self, now: float) -> list[Server]:
         """Drop servers that were removed long ago and have no requests in flight."""
-        gone = [
+        expired = [
             state
             for state in self._servers.values()
             if state.removed_at is not None
             and now - state.removed_at > LAPSE_S
             and state.open == 0
         ]
-        for state in gone:
+        for state in expired:
             self._discard(state)
-        return [state.server for state in gone]
+        return [state.server for state in expired]
 
     def usable(self, service: str, now: float) -> list[ServerState]:
         """Return the servers that may get new requests.
@@ -294,12 +296,16 @@
         self, available: list[ServerState], removed: list[ServerState], now: float
     ) -> list[ServerState]:
         available = available + [s for s in removed if self._may_come_back(s, now)]
-        gone = [s for s in removed if s.removed_within(self._last_resort_s, now)]
-        gone = [s for s in gone if s not in available]
+        recently_removed = [
+            s for s in removed if s.removed_within(self._last_resort_s, now)
+        ]
+        recently_removed = [s for s in recently_removed if s not in available]
         # A single removed entry means a leaving server. If most entries of a service
         # are removed during an outage, their servers have probably not left.
-        if not available or (self.store_unsure and len(gone) > len(available)):
-            available = available + gone
+        if not available or (
+            self.store_unsure and len(recently_removed) > len(available)
+        ):
+            available = available + recently_removed
         return available
 
     def _may_come_back(self, state: ServerState, now: float) -> bool:
@@ -309,8 +315,8 @@
         leaving server that stayed in use for 1.4 s after its removal was known got a
         request after the two seconds for which it still served.
         """
-        unsure = self.store_unsure and state.lapsed
-        return unsure and state.removed_within(LAPSE_S, now)
+        has_expired = self.store_unsure and state.lapsed
+        return has_expired and state.removed_within(LAPSE_S, now)
 
     def _discard(self, state: ServerState) -> None:
         del self._servers[state.server.id]
--- a/wisteriastair/core/watchers.py
+++ b/wisteriastair/core/watchers.py
@@ -162,9 +162,9 @@
         self._last_updates[address] = _LastUpdate(now, news.revision, news.in_touch)
         oldest = now - self.times.limit_s
         self._last_updates = {
-            a: h
-            for a, h in self._last_updates.items()
-            if a in self._watchers or h.at > oldest
+            a: u
+            for a, u in self._last_updates.items()
+            if a in self._watchers or u.at > oldest
         }
         self._track_lag(now)
 
@@ -174,7 +174,7 @@
         self._track_lag(now)
 
     def _track_lag(self, now: float) -> None:
-        newest = max((h.revision for h in self._last_updates.values()), default=0)
+        newest = max((u.revision for u in self._last_updates.values()), default=0)
         if newest <= self._revision:
             self._behind_since = None
         elif self._behind_since is None:
@@ -195,18 +195,18 @@
         """
         if self.is_watcher:
             return NEVER
-        fresh = [h.at for a, h in self._last_updates.items() if self._is_fresh(a, now)]
+        fresh = [u.at for a, u in self._last_updates.items() if self._is_fresh(a, now)]
         until = max(fresh, default=NEVER) + self.times.limit_s
         if self._behind_since is not None:
             until = min(until, self._behind_since + CHANGE_GRACE_S)
         return until
 
     def store_lost(self, now: float) -> bool:
-        """Return whether all recent updates say that the store is unreachable."""
+        """Return whether there are recent updates and all report a store outage."""
         recent = [
-            h for h in self._last_updates.values() if now - h.at <= self.times.limit_s
+            u for u in self._last_updates.values() if now - u.at <= self.times.limit_s
         ]
-        return bool(recent) and not any(h.in_touch for h in recent)
+        return bool(recent) and not any(u.in_touch for u in recent)
 
 
 def make_subscription(
