--- a/tests/core/bench.py
+++ b/tests/core/bench.py
@@ -46,8 +46,8 @@
     headers = [(b"Authorization", f"Bearer {key}".encode()) for key in keys[:PROGRAMS]]
 
     def look_up() -> None:
-        for one in headers:
-            customers.holder(key_digest([one]))
+        for header in headers:
+            customers.holder(key_digest([header]))
 
     return median_us(look_up, len(headers))
 
@@ -60,28 +60,28 @@
     holder = QuotaHolder(members[0], bounds, members, 0.0)
     quota = Quota(100.0, 100.0)
     holder.configure({name: Customer(name, None, quota) for name in names}, 0.0)
-    asked = names[:PROGRAMS]
+    requested = names[:PROGRAMS]
 
     def ask() -> None:
-        for name in asked:
+        for name in requested:
             holder.ask(name, "program", "kind", False, 30.0)
 
-    return median_us(ask, len(asked))
+    return median_us(ask, len(requested))
 
 
-def median_us(work: Callable[[], None], times: int) -> float:
+def median_us(operation: Callable[[], None], repetitions: int) -> float:
     """Return the time of one piece of work, the median of some rounds."""
-    took = []
+    durations_us = []
     for _ in range(ROUNDS):
         began = time.perf_counter()
-        work()
-        took.append((time.perf_counter() - began) / times * 1e6)
-    return statistics.median(took)
+        operation()
+        durations_us.append((time.perf_counter() - began) / repetitions * 1e6)
+    return statistics.median(durations_us)
 
 
 def choice_us(count: int) -> float:
     """Time of a choice among some servers."""
-    draw = random.Random(1)
+    rng = random.Random(1)
     fleet = Fleet()
     for number in range(count):
         domain = f"d{number % 3}"
@@ -94,19 +94,19 @@
         for n in range(PROGRAMS)
     ]
     for prompt in prompts:
-        draw.choice(states).parts.note(prompt)
+        rng.choice(states).parts.note(prompt)
     for state in states:
-        state.take_load(Load(draw.randrange(20), 0, 48), 0.0)
-        state.succeeded(draw.uniform(0.2, 0.6))
+        state.take_load(Load(rng.randrange(20), 0, 48), 0.0)
+        state.succeeded(rng.uniform(0.2, 0.6))
     connected = frozenset(state.server.start for state in states[::2])
 
     def choose_all() -> None:
         for prompt in prompts:
             rendezvous_id = agreed_server(prompt, names)
-            want = Want(
+            context = Want(
                 "d1", prompt, frozenset(), 20.0, connected, rendezvous_id=rendezvous_id
             )
-            choose(states, want, draw.randrange, 0.1)
+            choose(states, context, rng.randrange, 0.1)
 
     return median_us(choose_all, PROGRAMS)
 
--- a/tests/core/quota_world.py
+++ b/tests/core/quota_world.py
@@ -26,17 +26,17 @@
 LOSSES = 2
 STEP_S = 0.05
 RELAYS = 4
-WAY_S = 0.02
+MAX_DELAY_S = 0.02
 # How long killed processes are down, in seconds: some, or all at once.
 DOWN_S = (0.2, 3.0)
 ALL_DOWN_S = (0.1, 0.5)
 # Spans without and with requests, in seconds: buckets fill up in the one.
-CALM_S = (2.0, 4.0)
+PAUSE_S = (2.0, 4.0)
 FLOOD_S = (4.0, 9.0)
 # From the beginning of a flood to a fault, in seconds: buckets are empty again.
-TO_FAULT_S = (0.3, 1.0)
+FAULT_DELAY_S = (0.3, 1.0)
 # Time from a permit to the arrival of its request, in seconds.
-USED_S = (0.0, 0.8 * USE_S)
+PERMIT_USE_DELAY_S = (0.0, 0.8 * USE_S)
 
 
 class _Keeper:
@@ -48,12 +48,12 @@
         self.disks = 0
         self.view = View()
         self.core: KeeperCore | None = None
-        self.up_at = 0.0
+        self.restart_at = 0.0
         # What its own clock has not counted, since it stood still.
-        self.stood_s = 0.0
+        self.suspended_s = 0.0
         self.frozen_until = 0.0
-        self.cut_until = 0.0
-        self.no_store_until = 0.0
+        self.partitioned_until = 0.0
+        self.store_unreachable_until = 0.0
 
     @property
     def member(self) -> Member:
@@ -69,7 +69,7 @@
     relay: int
 
 
-class QuotaWorld:
+class QuotaSimulation:
     """One play.
 
     Parameters
@@ -83,52 +83,52 @@
         self.arrivals: list[Arrival] = []
         self._random = random.Random(seed)
         self._order = count()
-        self._wires: list[tuple[float, int, str, str, LedgerMessage]] = []
+        self._in_flight: list[tuple[float, int, str, str, LedgerMessage]] = []
         self._ops: dict[int, int] = {}
         self._op = count(1)
         self._keepers = {
             f"k{n}:1": _Keeper(f"k{n}", f"d{n % 3}") for n in range(keepers)
         }
-        self._stored = View(1, tuple(k.member for k in self._keepers.values()))
+        self._stored_view = View(1, tuple(k.member for k in self._keepers.values()))
         self._revision = 1
-        self._views = [self._stored] * RELAYS
+        self._views = [self._stored_view] * RELAYS
         for keeper in self._keepers.values():
-            keeper.view = self._stored
+            keeper.view = self._stored_view
             self._start(keeper)
 
-    def play(self, seconds: float) -> None:
+    def run(self, seconds: float) -> None:
         """Play floods with a fault every second or two."""
-        next_fault = calm_at = 12.0
+        next_fault = pause_at = 12.0
         flood_at = 0.0
         while self.now < seconds:
             self.now += STEP_S
-            if self.now >= calm_at:
-                flood_at = self.now + self._random.uniform(*CALM_S)
-                calm_at = flood_at + self._random.uniform(*FLOOD_S)
+            if self.now >= pause_at:
+                flood_at = self.now + self._random.uniform(*PAUSE_S)
+                pause_at = flood_at + self._random.uniform(*FLOOD_S)
                 if self._random.random() < 0.5:
-                    next_fault = flood_at + self._random.uniform(*TO_FAULT_S)
+                    next_fault = flood_at + self._random.uniform(*FAULT_DELAY_S)
             if self.now >= next_fault:
                 next_fault = self.now + self._random.uniform(0.3, 2.5)
-                self._fault()
+                self._inject_fault()
             self._deliver()
             for keeper in self._keepers.values():
-                self._run(keeper)
+                self._run_keeper(keeper)
             if self.now >= flood_at:
                 for relay in range(RELAYS):
-                    self._ask(relay)
+                    self._request_permits(relay)
 
-    def most_in_a_window(self) -> int:
+    def max_arrivals_in_window(self) -> int:
         """Return the most arrivals in any span of one window."""
         return most_in_a_window([a.at for a in self.arrivals], BOUNDS.window_s)
 
     # Faults
 
-    def _fault(self) -> None:
-        rand = self._random
-        kind = rand.choice(
+    def _inject_fault(self) -> None:
+        rng = self._random
+        kind = rng.choice(
             ("kill", "wipe", "cut", "no store", "freeze", "kill all", "kill all")
         )
-        chosen = rand.sample(list(self._keepers.values()), rand.randint(1, LOSSES))
+        chosen = rng.sample(list(self._keepers.values()), rng.randint(1, LOSSES))
         down_s = DOWN_S
         if kind == "kill all":
             chosen = list(self._keepers.values())
@@ -136,16 +136,16 @@
         for keeper in chosen:
             if kind in ("kill", "kill all", "wipe"):
                 keeper.core = None
-                keeper.up_at = self.now + rand.uniform(*down_s)
+                keeper.restart_at = self.now + rng.uniform(*down_s)
             if kind == "wipe" and keeper is chosen[0]:
                 keeper.disks += 1
                 keeper.view = View()
             if kind == "cut":
-                keeper.cut_until = self.now + rand.uniform(0.5, 9.0)
+                keeper.partitioned_until = self.now + rng.uniform(0.5, 9.0)
             if kind == "no store":
-                keeper.no_store_until = self.now + rand.uniform(0.5, 9.0)
+                keeper.store_unreachable_until = self.now + rng.uniform(0.5, 9.0)
             if kind == "freeze":
-                keeper.frozen_until = self.now + rand.uniform(0.5, 6.0)
+                keeper.frozen_until = self.now + rng.uniform(0.5, 6.0)
 
     def _start(self, keeper: _Keeper) -> None:
         keeper.core = KeeperCore(
@@ -160,23 +160,23 @@
         keeper.core.quota.configure(customers, self._clock(keeper))
 
     def _clock(self, keeper: _Keeper) -> float:
-        return self.now - keeper.stood_s
+        return self.now - keeper.suspended_s
 
     # Keepers
 
-    def _run(self, keeper: _Keeper) -> None:
-        if keeper.core is None and self.now >= keeper.up_at:
+    def _run_keeper(self, keeper: _Keeper) -> None:
+        if keeper.core is None and self.now >= keeper.restart_at:
             self._start(keeper)
         core = keeper.core
         if core is None:
             return
         if self.now < keeper.frozen_until:
-            keeper.stood_s += STEP_S
+            keeper.suspended_s += STEP_S
             return
         now = self._clock(keeper)
         core.tick(now)
-        if self.now >= keeper.no_store_until:
-            self._use_store(core, now)
+        if self.now >= keeper.store_unreachable_until:
+            self._sync_with_store(core, now)
         batch = core.take_batch()
         if batch is not None:
             keeper.view = core.view
@@ -184,63 +184,65 @@
         for to, message in core.take_outbox():
             self._send(f"{keeper.name}:1#a", to, message)
 
-    def _use_store(self, core: KeeperCore, now: float) -> None:
-        core.adopt(self._stored, now, self._revision)
-        wanted = next_view(core.view, core.wishes(now), LOSSES)
-        if wanted is None and core.has_copied():
-            wanted = core.view._replace(synced=(*core.view.synced, core.me.disk))
-        if wanted is not None:
-            self._stored = wanted
+    def _sync_with_store(self, core: KeeperCore, now: float) -> None:
+        core.adopt(self._stored_view, now, self._revision)
+        proposal = next_view(core.view, core.wishes(now), LOSSES)
+        if proposal is None and core.has_copied():
+            proposal = core.view._replace(synced=(*core.view.synced, core.me.disk))
+        if proposal is not None:
+            self._stored_view = proposal
             self._revision += 1
-            core.adopt(wanted, now, self._revision)
+            core.adopt(proposal, now, self._revision)
 
     # Wires
 
     def _send(self, sender: str, to: str, message: LedgerMessage) -> None:
         for end in (sender.split("#")[0], to.split("#")[0]):
             keeper = self._keepers.get(end)
-            if keeper is not None and self.now < keeper.cut_until:
+            if keeper is not None and self.now < keeper.partitioned_until:
                 return
-        at = self.now + self._random.uniform(0.0, WAY_S)
-        heapq.heappush(self._wires, (at, next(self._order), sender, to, message))
+        at = self.now + self._random.uniform(0.0, MAX_DELAY_S)
+        heapq.heappush(self._in_flight, (at, next(self._order), sender, to, message))
 
     def _deliver(self) -> None:
-        held: list[tuple[float, int, str, str, LedgerMessage]] = []
-        while self._wires and self._wires[0][0] <= self.now:
-            wire = heapq.heappop(self._wires)
-            _, _, sender, to, message = wire
+        deferred: list[tuple[float, int, str, str, LedgerMessage]] = []
+        while self._in_flight and self._in_flight[0][0] <= self.now:
+            delivery = heapq.heappop(self._in_flight)
+            _, _, sender, to, message = delivery
             keeper = self._keepers.get(to.split("#")[0])
             if keeper is None:
-                self._take(int(to), message)
+                self._receive(int(to), message)
             elif self.now < keeper.frozen_until:
-                held.append((keeper.frozen_until, *wire[1:]))
+                deferred.append((keeper.frozen_until, *delivery[1:]))
             elif keeper.core is not None:
                 keeper.core.receive(sender, message, self._clock(keeper))
-        for wire in held:
-            heapq.heappush(self._wires, wire)
+        for delivery in deferred:
+            heapq.heappush(self._in_flight, delivery)
 
     # Relays
 
-    def _ask(self, relay: int) -> None:
+    def _request_permits(self, relay: int) -> None:
         """Ask each holder for several permits, by a list that is often old."""
         if self._random.random() < 0.2:
-            self._views[relay] = self._stored
-        held = holders_of(
+            self._views[relay] = self._stored_view
+        holders = holders_of(
             self._views[relay].members, NAME, allowance(QUOTA, BOUNDS).holders
         )
-        for member in held:
+        for member in holders:
             for _ in range(self._random.randint(0, 4)):
                 op = next(self._op)
                 self._ops[op] = round(self.now / STEP_S)
-                question = AskPermit(op, NAME, f"p{op % 50}", "", True)
-                self._send(str(relay), member.address, question)
+                request = AskPermit(op, NAME, f"p{op % 50}", "", True)
+                self._send(str(relay), member.address, request)
 
-    def _take(self, relay: int, message: LedgerMessage) -> None:
+    def _receive(self, relay: int, message: LedgerMessage) -> None:
         if not isinstance(message, PermitReply):
             return
-        asked_s = self.now - self._ops.pop(message.op) * STEP_S
+        reply_delay_s = self.now - self._ops.pop(message.op) * STEP_S
         permit = message.permit
-        if permit.answer is not Answer.GRANTED or asked_s > 0.1 + STEP_S:
+        if permit.answer is not Answer.GRANTED or reply_delay_s > 0.1 + STEP_S:
             return
-        used = self.now + permit.wait_s + self._random.uniform(*USED_S)
-        self.arrivals.append(Arrival(used, relay))
+        arrival_at = (
+            self.now + permit.wait_s + self._random.uniform(*PERMIT_USE_DELAY_S)
+        )
+        self.arrivals.append(Arrival(arrival_at, relay))
--- a/tests/core/test_affinity.py
+++ b/tests/core/test_affinity.py
@@ -15,18 +15,18 @@
 DOMAINS: Final = 2
 SERVERS: Final = 10
 SLOTS: Final = 8
-TOKENS: Final = 12_600
-BEGINNINGS: Final = 16
-MEMORY: Final = 240_000
+PREFIX_TOKENS: Final = 12_600
+PREFIXES: Final = 16
+MEMORY_TOKENS: Final = 240_000
 # What the engine keeps free of beginnings for requests that run and their own parts.
-FOR_BEGINNINGS: Final = 100_000
+PREFIX_CACHE_TOKENS: Final = 100_000
 
 
-class Replay(NamedTuple):
+class SimulationResult(NamedTuple):
     """Beginnings read again for each that was not, and the busiest server's share."""
 
-    read_again: float
-    busiest: float
+    recomputed_fraction: float
+    max_relative_load: float
 
 
 def make_fleet() -> Fleet:
@@ -37,21 +37,23 @@
     return fleet
 
 
-def replay(memory: int, *, per_s: float = 150.0, work_s: float = 0.25) -> Replay:
+def simulate(
+    memory_tokens: int, *, requests_per_s: float = 150.0, service_time_s: float = 0.25
+) -> SimulationResult:
     """Play 20 s of turns; beginnings are asked for as unevenly as subjects are."""
-    draw = random.Random(3)
+    rng = random.Random(3)
     fleets = [make_fleet() for _ in range(RELAYS)]
-    beginnings = [Beginnings(memory) for _ in range(RELAYS)]
-    everyone = frozenset(f"s{n}" for n in range(SERVERS))
-    caches: dict[str, OrderedDict[str, None]] = {n: OrderedDict() for n in everyone}
-    running = dict.fromkeys(everyone, 0)
-    served = dict.fromkeys(everyone, 0)
-    weights = [1 / (place + 1) ** 0.84 for place in range(BEGINNINGS)]
+    affinities = [Beginnings(memory_tokens) for _ in range(RELAYS)]
+    all_servers = frozenset(f"s{n}" for n in range(SERVERS))
+    caches: dict[str, OrderedDict[str, None]] = {n: OrderedDict() for n in all_servers}
+    running = dict.fromkeys(all_servers, 0)
+    served = dict.fromkeys(all_servers, 0)
+    weights = [1 / (index + 1) ** 0.84 for index in range(PREFIXES)]
     ends: list[tuple[float, int, str]] = []
     hits = misses = 0
     now = 0.0
     while now < 20.0:
-        now += draw.expovariate(per_s)
+        now += rng.expovariate(requests_per_s)
         while ends and ends[0][0] <= now:
             end, relay, name = heapq.heappop(ends)
             running[name] -= 1
@@ -59,74 +61,76 @@
             assert state is not None
             state.open -= 1
             state.take_load(Load(running[name], 0, SLOTS), end)
-        relay = draw.randrange(RELAYS)
-        beginning = f"b{draw.choices(range(BEGINNINGS), weights)[0]}"
-        beginnings[relay].note(beginning, TOKENS, now)
+        relay = rng.randrange(RELAYS)
+        prefix = f"b{rng.choices(range(PREFIXES), weights)[0]}"
+        affinities[relay].note(prefix, PREFIX_TOKENS, now)
         servers = fleets[relay].usable("svc", now)
-        homes = beginnings[relay].homes(beginning, servers)
-        want = Want(f"d{relay % DOMAINS}", (), frozenset(), 20.0, everyone, homes)
-        chosen = choose(servers, want, draw.randrange, now)
+        homes = affinities[relay].homes(prefix, servers)
+        context = Want(f"d{relay % DOMAINS}", (), frozenset(), 20.0, all_servers, homes)
+        chosen = choose(servers, context, rng.randrange, now)
         assert chosen is not None
         name = chosen.server.id
         chosen.open += 1
         running[name] += 1
         served[name] += 1
         cache = caches[name]
-        if beginning in cache:
+        if prefix in cache:
             hits += 1
-            cache.move_to_end(beginning)
+            cache.move_to_end(prefix)
         else:
             misses += 1
-            cache[beginning] = None
-            if len(cache) * TOKENS > FOR_BEGINNINGS:
+            cache[prefix] = None
+            if len(cache) * PREFIX_TOKENS > PREFIX_CACHE_TOKENS:
                 cache.popitem(last=False)
-        heapq.heappush(ends, (now + work_s * draw.uniform(0.5, 1.5), relay, name))
+        heapq.heappush(
+            ends, (now + service_time_s * rng.uniform(0.5, 1.5), relay, name)
+        )
     mean = sum(served.values()) / SERVERS
-    return Replay(misses / (hits + misses), max(served.values()) / mean)
+    return SimulationResult(misses / (hits + misses), max(served.values()) / mean)
 
 
-def test_beginnings_that_do_not_fit_together_are_led_apart() -> None:
+def test_affinity_avoids_recomputing_prefixes_that_do_not_fit_together() -> None:
     """Sixteen beginnings are asked for, and a server can keep seven of them.
 
     If each server gets each beginning it evicts what the next request needs, and
     prompts of 12,600 tokens are read again and again.  Led to some servers each they
     stay, and the servers are still about equally busy.
     """
-    led = replay(MEMORY)
-    anywhere = replay(0)
-    assert anywhere.read_again > 0.25
-    assert led.read_again < anywhere.read_again / 3
-    assert led.busiest < 1.35
+    with_affinity = simulate(MEMORY_TOKENS)
+    without_affinity = simulate(0)
+    assert without_affinity.recomputed_fraction > 0.25
+    assert with_affinity.recomputed_fraction < without_affinity.recomputed_fraction / 3
+    assert with_affinity.max_relative_load < 1.35
 
 
-def test_beginnings_that_fit_are_not_restricted() -> None:
-    beginnings = Beginnings(520_000)
+def test_prefixes_that_fit_are_not_restricted() -> None:
+    affinities = Beginnings(520_000)
     servers = make_fleet().usable("svc", 0.0)
     for number in range(6):
-        beginnings.note(f"b{number}", TOKENS, 0.0)
-    assert beginnings.homes("b0", servers) == frozenset()
+        affinities.note(f"b{number}", PREFIX_TOKENS, 0.0)
+    assert affinities.homes("b0", servers) == frozenset()
 
 
-def test_beginnings_that_nobody_asks_for_any_more_do_not_count() -> None:
-    beginnings = Beginnings(MEMORY)
+def test_unused_prefixes_expire() -> None:
+    affinities = Beginnings(MEMORY_TOKENS)
     servers = make_fleet().usable("svc", 0.0)
-    for number in range(BEGINNINGS):
-        beginnings.note(f"b{number}", TOKENS, 0.0)
-    assert beginnings.homes("b0", servers)
-    beginnings.note("b0", TOKENS, ACTIVE_WINDOW_S + 1.0)
-    assert beginnings.homes("b0", servers) == frozenset()
+    for number in range(PREFIXES):
+        affinities.note(f"b{number}", PREFIX_TOKENS, 0.0)
+    assert affinities.homes("b0", servers)
+    affinities.note("b0", PREFIX_TOKENS, ACTIVE_WINDOW_S + 1.0)
+    assert affinities.homes("b0", servers) == frozenset()
 
 
-def test_relays_agree_and_a_server_that_goes_moves_only_its_own() -> None:
+def test_relays_agree_and_a_removed_server_moves_only_its_own_prefixes() -> None:
     fleet = make_fleet()
     before = fleet.usable("svc", 0.0)
     after = [state for state in before if state.server.id != "s0"]
-    ours, theirs = Beginnings(MEMORY), Beginnings(MEMORY)
-    for number in range(BEGINNINGS):
-        ours.note(f"b{number}", TOKENS, 0.0)
-        theirs.note(f"b{BEGINNINGS - 1 - number}", TOKENS, 0.0)
-    for number in range(BEGINNINGS):
-        homes = ours.homes(f"b{number}", before)
-        assert homes == theirs.homes(f"b{number}", before)
+    first, second = Beginnings(MEMORY_TOKENS), Beginnings(MEMORY_TOKENS)
+    for number in range(PREFIXES):
+        first.note(f"b{number}", PREFIX_TOKENS, 0.0)
+        second.note(f"b{PREFIXES - 1 - number}", PREFIX_TOKENS, 0.0)
+    for number in range(PREFIXES):
+        homes = first.homes(f"b{number}", before)
+        assert homes == second.homes(f"b{number}", before)
         assert {s.server.domain for s in before if s.server.id in homes} == {"d0", "d1"}
-        assert homes - {"s0"} <= ours.homes(f"b{number}", after)
+        assert homes - {"s0"} <= first.homes(f"b{number}", after)
--- a/tests/core/test_choice.py
+++ b/tests/core/test_choice.py
@@ -16,11 +16,11 @@
 SLOTS = 16
 
 
-class Replay(NamedTuple):
+class SimulationResult(NamedTuple):
     """What a replay showed."""
 
-    shares: dict[str, float]
-    most_waiting: int
+    relative_loads: dict[str, float]
+    max_waiting: int
 
 
 def make_fleet() -> Fleet:
@@ -32,80 +32,82 @@
     return fleet
 
 
-def replay(
-    *, per_s: float, work_s: float, slow: str = "", size_kb: float = 0.0
-) -> Replay:
+def simulate(
+    *,
+    requests_per_s: float,
+    service_time_s: float,
+    slow_server: str = "",
+    size_kb: float = 0.0,
+) -> SimulationResult:
     """Play 20 s of requests against servers that report with their answers."""
-    draw = random.Random(7)
+    rng = random.Random(7)
     fleets = [make_fleet() for _ in range(RELAYS)]
-    everyone = frozenset(f"s{n}" for n in range(SERVERS))
-    running = dict.fromkeys(everyone, 0)
-    served = dict.fromkeys(everyone, 0)
+    all_servers = frozenset(f"s{n}" for n in range(SERVERS))
+    running = dict.fromkeys(all_servers, 0)
+    served = dict.fromkeys(all_servers, 0)
     ends: list[tuple[float, int, str]] = []
-    most_waiting = 0
+    max_waiting = 0
     now = 0.0
     while now < 20.0:
-        now += draw.expovariate(per_s)
+        now += rng.expovariate(requests_per_s)
         while ends and ends[0][0] <= now:
             end, relay, name = heapq.heappop(ends)
             running[name] -= 1
-            state = known(fleets[relay], name)
+            state = server_state(fleets[relay], name)
             state.open -= 1
             state.take_load(Load(running[name], 0, SLOTS), end)
-            state.succeeded(work_s * (3 if name == slow else 1))
-        relay = draw.randrange(RELAYS)
-        want = Want(f"d{relay % 3}", (), frozenset(), size_kb, everyone)
-        state_or_none = choose(
-            fleets[relay].usable("svc", now), want, draw.randrange, now
-        )
-        assert state_or_none is not None
-        name = state_or_none.server.id
-        state_or_none.open += 1
+            state.succeeded(service_time_s * (3 if name == slow_server else 1))
+        relay = rng.randrange(RELAYS)
+        context = Want(f"d{relay % 3}", (), frozenset(), size_kb, all_servers)
+        selected = choose(fleets[relay].usable("svc", now), context, rng.randrange, now)
+        assert selected is not None
+        name = selected.server.id
+        selected.open += 1
         running[name] += 1
         served[name] += 1
-        most_waiting = max(most_waiting, running[name] - SLOTS)
-        factor = 3 if name == slow else 1
-        took_s = work_s * factor * draw.uniform(0.5, 1.5)
-        heapq.heappush(ends, (now + took_s, relay, name))
+        max_waiting = max(max_waiting, running[name] - SLOTS)
+        factor = 3 if name == slow_server else 1
+        duration_s = service_time_s * factor * rng.uniform(0.5, 1.5)
+        heapq.heappush(ends, (now + duration_s, relay, name))
     mean = sum(served.values()) / SERVERS
-    return Replay({n: c / mean for n, c in served.items()}, most_waiting)
+    return SimulationResult({n: c / mean for n, c in served.items()}, max_waiting)
 
 
-def known(fleet: Fleet, name: str) -> ServerState:
+def server_state(fleet: Fleet, name: str) -> ServerState:
     state = fleet.get(name)
     assert state is not None
     return state
 
 
-def test_relays_that_do_not_talk_spread_a_busy_day() -> None:
+def test_independent_relays_spread_a_high_load() -> None:
     """Five relays send 250 requests a second to six servers, two thirds of their room.
 
     Each knows its own requests and reports as old as its last answer from a server.  If
     they all took the emptiest reported server, it would fill up while others idle.
     """
-    result = replay(per_s=250, work_s=0.25)
-    assert max(result.shares.values()) < 1.15
-    assert result.most_waiting <= 6
+    result = simulate(requests_per_s=250, service_time_s=0.25)
+    assert max(result.relative_loads.values()) < 1.15
+    assert result.max_waiting <= 6
 
 
-def test_a_slow_server_gets_less() -> None:
-    result = replay(per_s=120, work_s=0.25, slow="s2")
-    assert 0.2 < result.shares["s2"] < 0.6
-    assert result.most_waiting <= 0
+def test_a_slow_server_gets_fewer_requests() -> None:
+    result = simulate(requests_per_s=120, service_time_s=0.25, slow_server="s2")
+    assert 0.2 < result.relative_loads["s2"] < 0.6
+    assert result.max_waiting <= 0
 
 
-def test_large_requests_stay_in_their_domain_while_there_is_room() -> None:
+def test_large_requests_stay_in_their_domain_while_it_has_capacity() -> None:
     """A calm day: turns of 20 kB cross domains only for a reason."""
     fleet = make_fleet()
-    draw = random.Random(1)
-    everyone = frozenset(f"s{n}" for n in range(SERVERS))
-    want = Want("d1", (), frozenset(), 20.0, everyone)
+    rng = random.Random(1)
+    all_servers = frozenset(f"s{n}" for n in range(SERVERS))
+    context = Want("d1", (), frozenset(), 20.0, all_servers)
     for _ in range(50):
-        chosen = choose(fleet.usable("svc", 0.0), want, draw.randrange, 0.0)
+        chosen = choose(fleet.usable("svc", 0.0), context, rng.randrange, 0.0)
         assert chosen is not None and chosen.server.domain == "d1"
     for name in ("s1", "s4"):
-        known(fleet, name).open = 4
-    chosen = choose(fleet.usable("svc", 0.0), want, draw.randrange, 0.0)
+        server_state(fleet, name).open = 4
+    chosen = choose(fleet.usable("svc", 0.0), context, rng.randrange, 0.0)
     assert chosen is not None and chosen.server.domain != "d1"
 
 
@@ -117,46 +119,46 @@
     return fleet
 
 
-def test_of_very_many_servers_those_that_matter_are_compared() -> None:
+def test_preferred_servers_are_compared_among_many() -> None:
     """With 1,500 servers each choice took 8 ms of a relay's processor.
 
     Whatever is left out, the server that has read the prompt and the agreed one must be
     among those compared, and an idle channel is used where nothing speaks against it.
     """
-    draw = random.Random(3)
+    rng = random.Random(3)
     fleet = many_servers(1_500)
     servers = fleet.usable("svc", 0.0)
     parts = (PromptPart("shared", 12_600), PromptPart("line", 1_000))
     rendezvous_id = "s701"
     for _ in range(50):
-        want = Want(
+        context = Want(
             "d1", parts, frozenset(), 17.0, frozenset(), rendezvous_id=rendezvous_id
         )
-        chosen = choose(servers, want, draw.randrange, 0.0)
+        chosen = choose(servers, context, rng.randrange, 0.0)
         assert chosen is not None and chosen.server.id == rendezvous_id
-    known(fleet, "s702").parts.note(parts)
+    server_state(fleet, "s702").parts.note(parts)
     for _ in range(50):
-        want = Want(
+        context = Want(
             "d1", parts, frozenset(), 17.0, frozenset(), rendezvous_id=rendezvous_id
         )
-        chosen = choose(servers, want, draw.randrange, 0.0)
+        chosen = choose(servers, context, rng.randrange, 0.0)
         assert chosen is not None and chosen.server.id == "s702"
-    near = frozenset(f"s{n}.0" for n in range(1, 200, 5))
+    connected = frozenset(f"s{n}.0" for n in range(1, 200, 5))
     for _ in range(50):
-        want = Want("d1", (), frozenset(), 1.0, near)
-        chosen = choose(servers, want, draw.randrange, 0.0)
-        assert chosen is not None and chosen.start in near
+        context = Want("d1", (), frozenset(), 1.0, connected)
+        chosen = choose(servers, context, rng.randrange, 0.0)
+        assert chosen is not None and chosen.start in connected
 
 
-def test_very_many_servers_share_a_load_evenly() -> None:
+def test_many_servers_share_a_load_evenly() -> None:
     """60 relays send 4,000 requests at once to 1,000 servers of 6 places each."""
-    draw = random.Random(5)
+    rng = random.Random(5)
     fleets = [many_servers(1_000) for _ in range(60)]
     counts: Counter[str] = Counter()
     for number in range(4_000):
         fleet = fleets[number % 60]
-        want = Want(f"d{number % 5}", (), frozenset(), 1.0, frozenset())
-        chosen = choose(fleet.usable("svc", 0.0), want, draw.randrange, 0.0)
+        context = Want(f"d{number % 5}", (), frozenset(), 1.0, frozenset())
+        chosen = choose(fleet.usable("svc", 0.0), context, rng.randrange, 0.0)
         assert chosen is not None
         chosen.open += 1
         counts[chosen.server.id] += 1
@@ -164,9 +166,9 @@
     assert max(counts.values()) <= 26
 
 
-def test_servers_that_refused_are_not_asked_again() -> None:
+def test_servers_that_rejected_a_request_are_not_selected_again() -> None:
     fleet = make_fleet()
     tried = frozenset(f"s{n}" for n in range(SERVERS))
-    want = Want("d1", (), tried, 0.0, frozenset())
+    context = Want("d1", (), tried, 0.0, frozenset())
     servers = fleet.usable("svc", 0.0)
-    assert choose(servers, want, random.Random(1).randrange, 0.0) is None
+    assert choose(servers, context, random.Random(1).randrange, 0.0) is None
--- a/tests/core/test_customers.py
+++ b/tests/core/test_customers.py
@@ -8,7 +8,7 @@
 TWO = Customer("two", 0, None)
 
 
-def test_a_key_finds_its_customer_and_only_by_its_digest() -> None:
+def test_customer_is_found_only_by_key_digest() -> None:
     customers = Customers([(ONE, [digest_of(b"k1"), digest_of(b"k2")]), (TWO, [])])
     assert customers.holder(digest_of(b"k2")) is ONE
     assert customers.holder(digest_of(b"k3")) is None
@@ -16,20 +16,20 @@
     assert customers.holder("") is None
 
 
-def test_a_key_of_two_customers_is_nobodys() -> None:
+def test_a_key_of_two_customers_is_valid_for_neither() -> None:
     """By a slip of the operators two customers hold one key.
 
     Whichever were taken, requests of the other would run in its name.  So neither is,
     both go on with their other keys, and the log names them.
     """
-    shared, own = digest_of(b"shared"), digest_of(b"own")
-    customers = Customers([(ONE, [shared, own]), (TWO, [shared])])
+    shared, valid = digest_of(b"shared"), digest_of(b"own")
+    customers = Customers([(ONE, [shared, valid]), (TWO, [shared])])
     assert customers.holder(shared) is None
-    assert customers.holder(own) is ONE
+    assert customers.holder(valid) is ONE
     assert [problem.customer for problem in customers.problems] == ["two"]
 
 
-def test_names_of_two_customers_never_meet() -> None:
+def test_names_of_two_customers_never_collide() -> None:
     assert scoped("a", "p") != scoped("b", "p")
     assert scoped("", "p") == "p"
     assert scoped("a", "") == "", "no turn stays no turn"
--- a/tests/core/test_fleet.py
+++ b/tests/core/test_fleet.py
@@ -29,14 +29,14 @@
     return {state.server.id for state in under_test.usable("svc", now)}
 
 
-def test_a_server_that_leaves_gets_nothing_new() -> None:
+def test_a_leaving_server_gets_no_new_requests() -> None:
     under_test = fleet("a", "b", "c")
     under_test.put(server("a", draining=True))
     under_test.remove("b", 10.0)
     assert usable(under_test, 10.1) == {"c"}
 
 
-def test_a_server_that_starts_again_under_its_id_begins_with_nothing() -> None:
+def test_a_restarted_server_loses_its_state() -> None:
     """A full server crashes and comes back under the id that it had.
 
     It is empty and has read nothing.  Callers would go round it for its old load and
@@ -62,7 +62,7 @@
     assert usable(under_test, 10.1) == {"a"}
 
 
-def test_the_last_server_is_used_only_while_it_still_serves() -> None:
+def test_the_last_server_is_used_only_while_it_still_serves_after_removal() -> None:
     """The only server's entry vanishes in ordinary times.
 
     It may be a lapse, so it is used a little longer; but a server that has left exits
@@ -74,7 +74,7 @@
     assert usable(under_test, 11.9) == set()
 
 
-def test_entries_that_lapsed_with_the_store_go_on_being_used() -> None:
+def test_servers_with_entries_expired_in_an_outage_stay_in_use() -> None:
     """The store was away and all entries lapsed; they come back one by one.
 
     If only those that are back were used, the first would get the load of all.
@@ -86,10 +86,10 @@
     under_test.put(server("a"))
     assert usable(under_test, 11.0) == {"a", "b", "c"}
     assert usable(under_test, 12.7) == {"a"}
-    assert [gone.id for gone in under_test.expire(12.7)] == ["b", "c"]
+    assert [removed.id for removed in under_test.expire(12.7)] == ["b", "c"]
 
 
-def test_a_server_that_leaves_just_after_an_outage_is_not_taken_for_lapsed() -> None:
+def test_a_server_that_leaves_just_after_an_outage_is_not_used() -> None:
     """The store has been back for a moment when a server's entry ends.
 
     It was there in the first answer after the outage, so it has not lapsed: the server
@@ -103,7 +103,7 @@
     assert usable(under_test, 11.5) == {"b"}
 
 
-def test_most_entries_of_a_service_do_not_end_because_their_servers_leave() -> None:
+def test_servers_stay_in_use_if_most_entries_are_removed_after_an_outage() -> None:
     """The store is back, and entries whose heartbeats it has missed end after that.
 
     If only those that are left were used, they would get the load of all.  It is still
@@ -117,20 +117,20 @@
     assert usable(under_test, 11.1) == {"c"}
 
 
-def test_failures_in_a_row_make_a_server_rest_but_never_all_of_them() -> None:
+def test_consecutive_failures_eject_a_server_but_never_all_servers() -> None:
     under_test = fleet("a", "b")
     for server_id in ("a", "b"):
         state = under_test.get(server_id)
         assert state is not None
-        rests = [state.failed(10.0) for _ in range(FAILURES_TO_REST)]
-        assert rests == [False, False, True]
+        ejections = [state.failed(10.0) for _ in range(FAILURES_TO_REST)]
+        assert ejections == [False, False, True]
         if server_id == "a":
             assert usable(under_test, 10.1) == {"b"}
     assert usable(under_test, 10.1) == {"a", "b"}
     assert usable(under_test, 11.1) == {"a", "b"}
 
 
-def test_of_many_servers_one_rests_after_a_single_failure() -> None:
+def test_one_failure_ejects_a_server_of_a_large_service() -> None:
     """One of 30 servers answers errors at once; 60 relays send to it in turn.
 
     Each waited for three failures in a row of its own, and took seconds to get them.
@@ -145,7 +145,7 @@
     assert "s0" in usable(few, 10.1)
 
 
-def test_own_requests_weigh_more_than_what_others_had() -> None:
+def test_own_requests_weigh_more_than_reported_ones() -> None:
     """A report is some answers old; own requests are known exactly."""
     under_test = fleet("a")
     state = under_test.get("a")
--- a/tests/core/test_policy.py
+++ b/tests/core/test_policy.py
@@ -33,23 +33,23 @@
 
 
 def test_program_stays_where_its_prefix_is_cached() -> None:
-    warm = server("warm", cached=20_000, running=7)
-    assert chosen(call(20_500), warm, server("idle")) == "warm"
+    cached_server = server("warm", cached=20_000, running=7)
+    assert chosen(call(20_500), cached_server, server("idle")) == "warm"
 
 
-def test_program_leaves_when_the_queue_costs_more_than_computing_anew() -> None:
-    warm = server("warm", cached=1_000, running=8, queued=40)
-    assert chosen(call(1_200), warm, server("idle")) == "idle"
+def test_program_moves_when_the_queue_costs_more_than_recomputing() -> None:
+    cached_server = server("warm", cached=1_000, running=8, queued=40)
+    assert chosen(call(1_200), cached_server, server("idle")) == "idle"
 
 
-def test_weight_of_waste_moves_the_point_of_leaving() -> None:
-    warm = server("warm", cached=20_000, running=8, queued=20)
+def test_waste_weight_shifts_the_point_of_moving() -> None:
+    cached_server = server("warm", cached=20_000, running=8, queued=20)
     idle = server("idle")
-    assert chosen(call(20_000, waste_weight=0.0), warm, idle) == "idle"
-    assert chosen(call(20_000, waste_weight=1.0), warm, idle) == "warm"
+    assert chosen(call(20_000, waste_weight=0.0), cached_server, idle) == "idle"
+    assert chosen(call(20_000, waste_weight=1.0), cached_server, idle) == "warm"
 
 
-def test_slow_server_is_left_although_its_queue_is_short() -> None:
+def test_slow_server_is_avoided_although_its_queue_is_short() -> None:
     slow = server("slow", running=1, extra_s=6.0)
     assert chosen(call(500), slow, server("busy", running=6)) == "busy"
 
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("router", ROUTERS)
-def test_every_router_takes_the_only_server(router: str) -> None:
+def test_every_router_chooses_the_only_server(router: str) -> None:
     only = server("only", running=8, queued=64)
     assert chosen(call(500), only, router=router) == "only"
 
@@ -70,5 +70,5 @@
     old = Waiting(5, queued_at=10.0, program_since=1.0)
     new = Waiting(5, queued_at=9.0, program_since=8.0)
     urgent = Waiting(7, queued_at=11.0, program_since=11.0)
-    ranked = sorted([new, old, urgent], key=lambda w: order.key(w, 12.0))
-    assert ranked == [urgent, old, new]
+    ordered = sorted([new, old, urgent], key=lambda w: order.key(w, 12.0))
+    assert ordered == [urgent, old, new]
--- a/tests/core/test_reuse.py
+++ b/tests/core/test_reuse.py
@@ -21,18 +21,18 @@
 SERVERS: Final = 6
 SLOTS: Final = 48
 SHARED: Final = (PromptPart("shared", 2_500),)
-FIRST_TOKENS: Final = 500
+FIRST_TURN_TOKENS: Final = 500
 TURN_TOKENS: Final = 500
 TURNS: Final = 9
 # One turn in six comes to another relay than the one before it.
-MOVES: Final = 1 / 6
+MOVE_PROBABILITY: Final = 1 / 6
 
 
-class Replay(NamedTuple):
+class SimulationResult(NamedTuple):
     """Tokens read a turn, new ones included, and the busiest server's share."""
 
-    read: float
-    busiest: float
+    computed_tokens: float
+    max_relative_load: float
 
 
 class Program:
@@ -44,13 +44,15 @@
         self.turns = 0
 
     def prompt(self) -> tuple[PromptPart, ...]:
-        tokens = FIRST_TOKENS + self.turns * TURN_TOKENS
+        tokens = FIRST_TURN_TOKENS + self.turns * TURN_TOKENS
         return (*SHARED, PromptPart(f"line-{self.number}", tokens))
 
 
-def replay(*, programs_per_s: float, work_s: float, agree: bool) -> Replay:
+def simulate(
+    *, programs_per_s: float, service_time_s: float, use_rendezvous: bool
+) -> SimulationResult:
     """Play 20 s of programs; each server's cache holds all that it has read."""
-    draw = random.Random(11)
+    rng = random.Random(11)
     fleets = [Fleet() for _ in range(RELAYS)]
     for fleet in fleets:
         for number in range(SERVERS):
@@ -58,57 +60,59 @@
     names = tuple(f"s{n}" for n in range(SERVERS))
     caches = {name: KnownParts() for name in names}
     served = dict.fromkeys(names, 0)
-    idle = [dict.fromkeys(names, 0) for _ in range(RELAYS)]
+    idle_conns = [dict.fromkeys(names, 0) for _ in range(RELAYS)]
     arrivals = int(20 * programs_per_s)
     events: list[tuple[float, int, Program, str]] = [
-        (draw.uniform(0.0, 20.0), number, Program(number, draw.randrange(RELAYS)), "")
+        (rng.uniform(0.0, 20.0), number, Program(number, rng.randrange(RELAYS)), "")
         for number in range(arrivals)
     ]
     heapq.heapify(events)
     order = arrivals
-    read = 0.0
+    computed_tokens = 0.0
     while events:
-        now, _, program, ended_at = heapq.heappop(events)
+        now, _, program, server_name = heapq.heappop(events)
         order += 1
-        if ended_at:
-            state = fleets[program.relay].get(ended_at)
+        if server_name:
+            state = fleets[program.relay].get(server_name)
             assert state is not None
             state.open -= 1
             state.parts.note(program.prompt())
-            idle[program.relay][ended_at] += 1
+            idle_conns[program.relay][server_name] += 1
             program.turns += 1
-            if draw.random() < MOVES:
-                program.relay = draw.randrange(RELAYS)
+            if rng.random() < MOVE_PROBABILITY:
+                program.relay = rng.randrange(RELAYS)
             if program.turns < TURNS:
-                again = now + draw.uniform(0.1, 0.5)
-                heapq.heappush(events, (again, order, program, ""))
+                next_at = now + rng.uniform(0.1, 0.5)
+                heapq.heappush(events, (next_at, order, program, ""))
             continue
         prompt = program.prompt()
         connected = frozenset(
-            f"{name}.0" for name, count in idle[program.relay].items() if count
+            f"{name}.0" for name, count in idle_conns[program.relay].items() if count
         )
-        rendezvous_id = agreed_server(prompt, names) if agree else ""
-        want = Want(
+        rendezvous_id = agreed_server(prompt, names) if use_rendezvous else ""
+        context = Want(
             "d", prompt, frozenset(), 20.0, connected, rendezvous_id=rendezvous_id
         )
         servers = fleets[program.relay].usable("svc", now)
-        chosen = choose(servers, want, draw.randrange, now)
+        chosen = choose(servers, context, rng.randrange, now)
         assert chosen is not None
         name = chosen.server.id
-        idle[program.relay][name] = max(0, idle[program.relay][name] - 1)
+        idle_conns[program.relay][name] = max(0, idle_conns[program.relay][name] - 1)
         chosen.open += 1
         served[name] += 1
-        total = sum(part.tokens for part in prompt)
-        read += caches[name].missing_fraction(prompt) * total
+        total = sum(segment.tokens for segment in prompt)
+        computed_tokens += caches[name].missing_fraction(prompt) * total
         caches[name].note(prompt)
-        end = now + work_s * draw.uniform(0.5, 1.5)
+        end = now + service_time_s * rng.uniform(0.5, 1.5)
         heapq.heappush(events, (end, order, program, name))
     turns = sum(served.values())
-    return Replay(read / turns, max(served.values()) / (turns / SERVERS))
+    return SimulationResult(
+        computed_tokens / turns, max(served.values()) / (turns / SERVERS)
+    )
 
 
 @pytest.mark.parametrize("programs_per_s", [12.0, 20.0])
-def test_relays_that_do_not_talk_agree_on_a_programs_server(
+def test_independent_relays_agree_on_a_programs_server(
     programs_per_s: float,
 ) -> None:
     """A busy day on five relays: callers' turns come to another relay now and then.
@@ -117,36 +121,40 @@
     a server that has to read the whole prompt, while all that runs there waits.  About
     550 tokens a turn are new whatever is decided.
     """
-    rendezvous_id = replay(programs_per_s=programs_per_s, work_s=0.6, agree=True)
-    alone = replay(programs_per_s=programs_per_s, work_s=0.6, agree=False)
-    assert rendezvous_id.read < 0.85 * alone.read
-    assert rendezvous_id.read < 650
-    assert rendezvous_id.busiest < 1.2
-
-
-def test_a_part_counts_only_behind_all_that_come_before_it() -> None:
-    known = KnownParts()
-    known.note([PromptPart("a", 300), PromptPart("b", 100)])
-    assert known.missing_fraction((PromptPart("a", 300), PromptPart("b", 100))) == 0.0
-    assert known.missing_fraction(
+    with_rendezvous = simulate(
+        programs_per_s=programs_per_s, service_time_s=0.6, use_rendezvous=True
+    )
+    without_rendezvous = simulate(
+        programs_per_s=programs_per_s, service_time_s=0.6, use_rendezvous=False
+    )
+    assert with_rendezvous.computed_tokens < 0.85 * without_rendezvous.computed_tokens
+    assert with_rendezvous.computed_tokens < 650
+    assert with_rendezvous.max_relative_load < 1.2
+
+
+def test_a_segment_counts_only_if_all_before_it_are_cached() -> None:
+    cached = KnownParts()
+    cached.note([PromptPart("a", 300), PromptPart("b", 100)])
+    assert cached.missing_fraction((PromptPart("a", 300), PromptPart("b", 100))) == 0.0
+    assert cached.missing_fraction(
         (PromptPart("a", 300), PromptPart("b", 400))
     ) == pytest.approx(300 / 700)
-    assert known.missing_fraction((PromptPart("x", 300), PromptPart("b", 100))) == 1.0
+    assert cached.missing_fraction((PromptPart("x", 300), PromptPart("b", 100))) == 1.0
     longer = (PromptPart("a", 600), PromptPart("b", 100))
-    assert known.missing_fraction(longer) == pytest.approx(400 / 700)
-    assert known.missing_fraction(()) == 0.0
+    assert cached.missing_fraction(longer) == pytest.approx(400 / 700)
+    assert cached.missing_fraction(()) == 0.0
 
 
-def test_what_was_read_longest_ago_is_forgotten_first() -> None:
-    known = KnownParts()
-    known.note([PromptPart("old", 1), PromptPart("kept", 1)])
+def test_the_oldest_segments_are_evicted_first() -> None:
+    cached = KnownParts()
+    cached.note([PromptPart("old", 1), PromptPart("kept", 1)])
     for number in range(MAX_SEGMENTS - 1):
-        known.note([PromptPart(f"p{number}", 1), PromptPart("kept", 1)])
-    assert "kept" in known and "old" not in known
-    assert len(known) == MAX_SEGMENTS
+        cached.note([PromptPart(f"p{number}", 1), PromptPart("kept", 1)])
+    assert "kept" in cached and "old" not in cached
+    assert len(cached) == MAX_SEGMENTS
 
 
-def test_a_server_that_goes_moves_only_its_own_programs() -> None:
+def test_a_removed_server_moves_only_its_own_programs() -> None:
     names = tuple(f"s{n}" for n in range(SERVERS))
     for number in range(100):
         prompt = (*SHARED, PromptPart(f"line-{number}", 10))
--- a/tests/core/test_storetimes.py
+++ b/tests/core/test_storetimes.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize("contact_s", [2.5, 3.0, 4.0, 6.0])
-def test_an_unanswered_call_and_its_pause_leave_time_to_look_again(
+def test_an_unanswered_call_and_its_backoff_leave_time_to_read_again(
     contact_s: float,
 ) -> None:
     times = make_store_times(contact_s)
@@ -18,7 +18,7 @@
     assert times.retry_watch_s + times.slack_s + times.pause_max_s <= limit_s
 
 
-def test_a_bound_too_short_for_any_call_leaves_time_for_an_answer() -> None:
+def test_a_very_short_bound_still_leaves_time_for_a_response() -> None:
     times = make_store_times(0.1)
     assert times.call_s == 1.0
     assert times.watch_s == 0.2
--- a/tests/core/test_watchers.py
+++ b/tests/core/test_watchers.py
@@ -27,125 +27,132 @@
     return View(1, members)
 
 
-def subscription(view: View, me: str = "r1:1", domain: str = "domain0") -> Subscription:
-    found = make_subscription(me, domain, 2, BOUND_S)
-    found.set_view(view, 0.0)
-    return found
+def make_test_subscription(
+    view: View, me: str = "r1:1", domain: str = "domain0"
+) -> Subscription:
+    subscription = make_subscription(me, domain, 2, BOUND_S)
+    subscription.set_view(view, 0.0)
+    return subscription
 
 
-def news(revision: int, *, in_touch: bool = True) -> StoreNews:
+def update_of(revision: int, *, in_touch: bool = True) -> StoreNews:
     return StoreNews(revision, revision, in_touch=in_touch)
 
 
-def test_one_more_than_may_be_lost_watch_in_different_domains() -> None:
+def test_watchers_exceed_tolerated_failures_and_are_in_different_domains() -> None:
     """All watchers lie in one failure domain, and it goes."""
     for count in (3, 8, 24, 60):
-        chosen = watchers_of(view_of(count), losses=2)
-        assert len(chosen) == 3
-        assert len({member.domain for member in chosen}) == 3
+        selected = watchers_of(view_of(count), losses=2)
+        assert len(selected) == 3
+        assert len({member.domain for member in selected}) == 3
     assert len(watchers_of(view_of(2), losses=2)) == 2
 
 
-def test_a_member_that_goes_moves_only_its_own_watch() -> None:
+def test_a_removed_member_moves_only_its_own_watch() -> None:
     before = view_of(24)
-    chosen = watchers_of(before, losses=2)
-    left = View(2, tuple(m for m in before.members if m != chosen[0]))
-    assert set(chosen[1:]) <= set(watchers_of(left, losses=2))
+    selected = watchers_of(before, losses=2)
+    left = View(2, tuple(m for m in before.members if m != selected[0]))
+    assert set(selected[1:]) <= set(watchers_of(left, losses=2))
 
 
-def test_values_come_from_one_watcher_and_from_another_when_it_is_silent() -> None:
+def test_values_come_from_one_watcher_and_fail_over_to_another() -> None:
     """A configuration of 100 kB from each watcher would fill a link of 15 Mbit/s."""
     view = view_of(24)
-    chosen = [member.address for member in watchers_of(view, losses=2)]
-    mine = subscription(view)
-    mine.holds(5, 0.0)
+    selected = [member.address for member in watchers_of(view, losses=2)]
+    own_subscription = make_test_subscription(view)
+    own_subscription.holds(5, 0.0)
 
     def source(now: float) -> str:
-        wishes = dict(mine.due(now))
-        assert sorted(wishes) == sorted(chosen)
-        (found,) = [a for a, wish in wishes.items() if wish.values]
-        return found
+        requests = dict(own_subscription.due(now))
+        assert sorted(requests) == sorted(selected)
+        (subscription,) = [a for a, request in requests.items() if request.values]
+        return subscription
 
     first = source(0.0)
-    other = next(a for a in chosen if a != first)
-    mine.hear(first, news(5), 0.1)
-    mine.hear(other, news(5), 0.1)
+    other = next(a for a in selected if a != first)
+    own_subscription.hear(first, update_of(5), 0.1)
+    own_subscription.hear(other, update_of(5), 0.1)
     assert source(RENEW_S) == first
     limit_s = make_watch_times(BOUND_S).limit_s
-    mine.hear(other, news(5), 0.1 + limit_s)
+    own_subscription.hear(other, update_of(5), 0.1 + limit_s)
     assert source(0.2 + limit_s) == other
 
 
-def test_one_watcher_in_touch_is_enough_and_counts_for_half_of_the_bound() -> None:
+def test_one_connected_watcher_suffices_for_half_of_the_bound() -> None:
     view = view_of(24)
-    chosen = [member.address for member in watchers_of(view, losses=2)]
-    mine = subscription(view)
-    mine.holds(5, 0.0)
-    assert mine.covered_until(0.0) < 0.0
-    mine.hear(chosen[0] + "#1", news(5, in_touch=False), 1.0)
-    assert mine.covered_until(1.0) < 1.0 and mine.store_lost(1.0)
-    mine.hear(chosen[1] + "#1", news(5), 1.0)
-    assert mine.covered_until(1.0) == 1.0 + BOUND_S / 2
-    assert not mine.store_lost(1.0)
-
-
-def test_who_is_told_of_something_newer_is_covered_for_a_moment_only() -> None:
+    selected = [member.address for member in watchers_of(view, losses=2)]
+    own_subscription = make_test_subscription(view)
+    own_subscription.holds(5, 0.0)
+    assert own_subscription.covered_until(0.0) < 0.0
+    own_subscription.hear(selected[0] + "#1", update_of(5, in_touch=False), 1.0)
+    assert own_subscription.covered_until(1.0) < 1.0 and own_subscription.store_lost(
+        1.0
+    )
+    own_subscription.hear(selected[1] + "#1", update_of(5), 1.0)
+    assert own_subscription.covered_until(1.0) == 1.0 + BOUND_S / 2
+    assert not own_subscription.store_lost(1.0)
+
+
+def test_a_newer_revision_ends_the_coverage_after_the_grace_time() -> None:
     """A relay claims to be in touch and serves by an older configuration.
 
     One watcher lags and confirms what the relay holds; another one is ahead.
     """
     view = view_of(24)
-    chosen = [member.address for member in watchers_of(view, losses=2)]
-    mine = subscription(view)
-    mine.holds(5, 0.0)
-    mine.hear(chosen[0], news(5), 0.0)
-    mine.hear(chosen[1], StoreNews(5, 6, None), 0.1)
-    assert mine.covered_until(0.2) == 0.1 + CHANGE_GRACE_S
-    mine.holds(6, 0.2)
-    assert mine.covered_until(0.2) > 0.1 + CHANGE_GRACE_S
+    selected = [member.address for member in watchers_of(view, losses=2)]
+    own_subscription = make_test_subscription(view)
+    own_subscription.holds(5, 0.0)
+    own_subscription.hear(selected[0], update_of(5), 0.0)
+    own_subscription.hear(selected[1], StoreNews(5, 6, None), 0.1)
+    assert own_subscription.covered_until(0.2) == 0.1 + CHANGE_GRACE_S
+    own_subscription.holds(6, 0.2)
+    assert own_subscription.covered_until(0.2) > 0.1 + CHANGE_GRACE_S
 
 
-def test_a_watcher_relies_on_nobody_and_strangers_do_not_count() -> None:
+def test_a_watcher_relies_on_no_updates_and_other_members_are_ignored() -> None:
     view = view_of(24)
-    chosen = [member.address for member in watchers_of(view, losses=2)]
-    watcher = subscription(view, me=chosen[0])
+    selected = [member.address for member in watchers_of(view, losses=2)]
+    watcher = make_test_subscription(view, me=selected[0])
     watcher.holds(5, 0.0)
-    watcher.hear(chosen[1], news(5), 0.0)
+    watcher.hear(selected[1], update_of(5), 0.0)
     assert watcher.is_watcher and watcher.covered_until(0.0) < 0.0
-    stranger = next(m.address for m in view.members if m.address not in chosen)
-    mine = subscription(view)
-    mine.holds(5, 0.0)
-    mine.hear(stranger, news(5), 0.0)
-    assert mine.covered_until(0.0) < 0.0
+    stranger = next(m.address for m in view.members if m.address not in selected)
+    own_subscription = make_test_subscription(view)
+    own_subscription.holds(5, 0.0)
+    own_subscription.hear(stranger, update_of(5), 0.0)
+    assert own_subscription.covered_until(0.0) < 0.0
 
 
-def test_subscribers_get_what_they_want_until_they_are_gone() -> None:
+def test_subscribers_get_what_they_requested_until_their_lease_expires() -> None:
     subscribers = Subscribers()
     subscribers.add("a:1#1", Subscribe(True), 0.0)
     subscribers.add("b:1#1", Subscribe(False), 1.0)
-    told = StoreNews(1, 2, [])
-    assert dict(subscribers.tell(told, 1.0)) == {"a:1#1": told, "b:1#1": told}
-    assert [to for to, _ in subscribers.tell(told, LEASE_S + 0.5)] == ["b:1#1"]
-    assert subscribers.tell(told, LEASE_S + 1.5) == []
+    store_update = StoreNews(1, 2, [])
+    assert dict(subscribers.tell(store_update, 1.0)) == {
+        "a:1#1": store_update,
+        "b:1#1": store_update,
+    }
+    assert [to for to, _ in subscribers.tell(store_update, LEASE_S + 0.5)] == ["b:1#1"]
+    assert subscribers.tell(store_update, LEASE_S + 1.5) == []
 
 
-def test_watchers_that_change_leave_nobody_without_word() -> None:
+def test_coverage_continues_while_watchers_change() -> None:
     """Keepers join one after another at a start, and other members watch each time.
 
     Every process went back to its own watch with each of them: two calls each.
     """
     first, last = view_of(8), view_of(24)
-    mine = subscription(first)
+    own_subscription = make_test_subscription(first)
     before = {member.address for member in watchers_of(first, losses=2)}
     after = {member.address for member in watchers_of(last, losses=2)}
     assert before != after
-    mine.holds(5, 0.0)
+    own_subscription.holds(5, 0.0)
     for count in range(9, 25):
         now = (count - 8) * 0.3
-        mine.set_view(view_of(count), now)
-        assert {to for to, _ in mine.due(now)} <= before
+        own_subscription.set_view(view_of(count), now)
+        assert {to for to, _ in own_subscription.due(now)} <= before
         for address in before:
-            mine.hear(address, news(5), now)
-        assert mine.covered_until(now) > now
-    mine.set_view(last, now + MEMBERS_STABLE_S)
-    assert {to for to, _ in mine.due(now + MEMBERS_STABLE_S)} == after
+            own_subscription.hear(address, update_of(5), now)
+        assert own_subscription.covered_until(now) > now
+    own_subscription.set_view(last, now + MEMBERS_STABLE_S)
+    assert {to for to, _ in own_subscription.due(now + MEMBERS_STABLE_S)} == after
