--- a/tests/core/bench.py
+++ b/tests/core/bench.py
@@ -1,6 +1,6 @@
-"""Time of the decisions on a request's way, in microseconds.
+"""Microbenchmarks of the decisions made per request.
 
-A choice of a server has a prompt of three parts.
+The prompts for server selection have three segments.
 
 python -m tests.core.bench
 """
@@ -29,7 +29,7 @@
 
 
 def main() -> None:
-    """Print the medians of some rounds."""
+    """Print the median times."""
     for count in SERVERS:
         print(f"one choice of {count} servers: {choice_us(count):.1f} us")
     for count in CUSTOMERS:
@@ -38,7 +38,7 @@
 
 
 def key_us(count: int) -> float:
-    """Time from the header of a request to its customer."""
+    """Return the time to look up a request's customer by its header."""
     keys = [f"key-{number:016}" for number in range(count)]
     customers = Customers(
         (Customer(key, None, None), [digest_of(key.encode())]) for key in keys
@@ -53,7 +53,7 @@
 
 
 def permit_us(count: int) -> float:
-    """Time of a holder's decision."""
+    """Return the time of one permit decision of a holder."""
     members = tuple(Member(f"k{n}", f"d{n}", f"k{n}:1", "d") for n in range(MEMBERS))
     names = [f"customer-{number}" for number in range(count)]
     bounds = QuotaBounds(5.0, 0.1, 20.0)
@@ -70,7 +70,7 @@
 
 
 def median_us(operation: Callable[[], None], repetitions: int) -> float:
-    """Return the time of one piece of work, the median of some rounds."""
+    """Return the median time of one repetition in microseconds."""
     durations_us = []
     for _ in range(ROUNDS):
         began = time.perf_counter()
@@ -80,7 +80,7 @@
 
 
 def choice_us(count: int) -> float:
-    """Time of a choice among some servers."""
+    """Return the time of one server selection."""
     rng = random.Random(1)
     fleet = Fleet()
     for number in range(count):
--- a/tests/core/quota_world.py
+++ b/tests/core/quota_world.py
@@ -1,9 +1,10 @@
-"""Keepers and relays in virtual time, with faults drawn by a seed, around one quota.
+"""Simulation of one quota: keepers and relays in virtual time, with random faults.
 
-The keepers are the shipped cores.  Relays ask for far more than the quota, by lists of
-members that may be old, and use each permit as late as they may.  They pause now and
-then, so that buckets fill up; some faults come just after what was in them was given
-out.  What is judged is only when requests with a permit arrive at servers.
+The keepers run the production cores. Relays request far more permits than the quota
+allows, use member lists that may be outdated, and use each permit as late as allowed.
+They pause at times so that buckets fill up. Some faults come just after the contents of
+the buckets were granted. Only the arrival times of permitted requests at servers are
+checked.
 """
 
 from __future__ import annotations
@@ -27,15 +28,15 @@
 STEP_S = 0.05
 RELAYS = 4
 MAX_DELAY_S = 0.02
-# How long killed processes are down, in seconds: some, or all at once.
+# Downtime of killed processes in seconds, for a few processes and for all at once.
 DOWN_S = (0.2, 3.0)
 ALL_DOWN_S = (0.1, 0.5)
-# Spans without and with requests, in seconds: buckets fill up in the one.
+# Duration of phases without and with requests, in seconds. Buckets fill up without.
 PAUSE_S = (2.0, 4.0)
 FLOOD_S = (4.0, 9.0)
-# From the beginning of a flood to a fault, in seconds: buckets are empty again.
+# Delay from the start of a flood to a fault in seconds; buckets are empty by then.
 FAULT_DELAY_S = (0.3, 1.0)
-# Time from a permit to the arrival of its request, in seconds.
+# Delay from a permit to the arrival of its request, in seconds.
 PERMIT_USE_DELAY_S = (0.0, 0.8 * USE_S)
 
 
@@ -49,7 +50,7 @@
         self.view = View()
         self.core: KeeperCore | None = None
         self.restart_at = 0.0
-        # What its own clock has not counted, since it stood still.
+        # Time that its own clock has missed while it was suspended.
         self.suspended_s = 0.0
         self.frozen_until = 0.0
         self.partitioned_until = 0.0
@@ -63,19 +64,19 @@
 
 
 class Arrival(NamedTuple):
-    """A request with a permit at a server."""
+    """Arrival of a permitted request at a server."""
 
     at: float
     relay: int
 
 
 class QuotaSimulation:
-    """One play.
+    """One simulation run.
 
     Parameters
     ----------
     keepers : int
-        Machines with a disk.
+        Number of machines with a disk.
     """
 
     def __init__(self, seed: int, keepers: int = 7) -> None:
@@ -97,7 +98,7 @@
             self._start(keeper)
 
     def run(self, seconds: float) -> None:
-        """Play floods with a fault every second or two."""
+        """Run floods of requests, with a fault every second or two."""
         next_fault = pause_at = 12.0
         flood_at = 0.0
         while self.now < seconds:
@@ -118,7 +119,7 @@
                     self._request_permits(relay)
 
     def max_arrivals_in_window(self) -> int:
-        """Return the most arrivals in any span of one window."""
+        """Return the maximum number of arrivals in any time window."""
         return most_in_a_window([a.at for a in self.arrivals], BOUNDS.window_s)
 
     # Faults
@@ -194,7 +195,7 @@
             self._revision += 1
             core.adopt(proposal, now, self._revision)
 
-    # Wires
+    # Network
 
     def _send(self, sender: str, to: str, message: LedgerMessage) -> None:
         for end in (sender.split("#")[0], to.split("#")[0]):
@@ -222,7 +223,7 @@
     # Relays
 
     def _request_permits(self, relay: int) -> None:
-        """Ask each holder for several permits, by a list that is often old."""
+        """Request several permits per holder, often by an outdated member list."""
         if self._random.random() < 0.2:
             self._views[relay] = self._stored_view
         holders = holders_of(
--- a/tests/core/test_affinity.py
+++ b/tests/core/test_affinity.py
@@ -1,4 +1,4 @@
-"""Prompts with shared beginnings, replayed before engines with little memory."""
+"""Prefix affinity, simulated with engines that have little memory."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 PREFIX_TOKENS: Final = 12_600
 PREFIXES: Final = 16
 MEMORY_TOKENS: Final = 240_000
-# What the engine keeps free of beginnings for requests that run and their own parts.
+# Tokens of shared prefixes that an engine caches; the rest is for running requests.
 PREFIX_CACHE_TOKENS: Final = 100_000
 
 
 class SimulationResult(NamedTuple):
-    """Beginnings read again for each that was not, and the busiest server's share."""
+    """Fraction of prefixes computed again, and the highest relative load."""
 
     recomputed_fraction: float
     max_relative_load: float
@@ -40,7 +40,7 @@
 def simulate(
     memory_tokens: int, *, requests_per_s: float = 150.0, service_time_s: float = 0.25
 ) -> SimulationResult:
-    """Play 20 s of turns; beginnings are asked for as unevenly as subjects are."""
+    """Simulate 20 s of turns with an uneven popularity of prefixes."""
     rng = random.Random(3)
     fleets = [make_fleet() for _ in range(RELAYS)]
     affinities = [Beginnings(memory_tokens) for _ in range(RELAYS)]
@@ -90,11 +90,11 @@
 
 
 def test_affinity_avoids_recomputing_prefixes_that_do_not_fit_together() -> None:
-    """Sixteen beginnings are asked for, and a server can keep seven of them.
+    """Sixteen prefixes are in use, and a server can cache seven of them.
 
-    If each server gets each beginning it evicts what the next request needs, and
-    prompts of 12,600 tokens are read again and again.  Led to some servers each they
-    stay, and the servers are still about equally busy.
+    If each server gets each prefix, it evicts the one that the next request needs, and
+    prefixes of 12,600 tokens are computed again and again. With affinity they stay
+    cached, and the servers remain about equally loaded.
     """
     with_affinity = simulate(MEMORY_TOKENS)
     without_affinity = simulate(0)
--- a/tests/core/test_choice.py
+++ b/tests/core/test_choice.py
@@ -1,4 +1,4 @@
-"""Which server gets a request, replayed with several relays and lagged reports."""
+"""Server selection, simulated with several relays and delayed load reports."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class SimulationResult(NamedTuple):
-    """What a replay showed."""
+    """Load of each server relative to the mean, and the longest queue."""
 
     relative_loads: dict[str, float]
     max_waiting: int
@@ -39,7 +39,7 @@
     slow_server: str = "",
     size_kb: float = 0.0,
 ) -> SimulationResult:
-    """Play 20 s of requests against servers that report with their answers."""
+    """Simulate 20 s of requests to servers that report load in each response."""
     rng = random.Random(7)
     fleets = [make_fleet() for _ in range(RELAYS)]
     all_servers = frozenset(f"s{n}" for n in range(SERVERS))
@@ -80,10 +80,11 @@
 
 
 def test_independent_relays_spread_a_high_load() -> None:
-    """Five relays send 250 requests a second to six servers, two thirds of their room.
+    """Five relays send 250 requests per second to six servers at two-thirds load.
 
-    Each knows its own requests and reports as old as its last answer from a server.  If
-    they all took the emptiest reported server, it would fill up while others idle.
+    Each relay knows its own requests, and reports as old as its last response from a
+    server. If all selected the server with the lowest reported load, it would be
+    overloaded while others idle.
     """
     result = simulate(requests_per_s=250, service_time_s=0.25)
     assert max(result.relative_loads.values()) < 1.15
@@ -97,7 +98,7 @@
 
 
 def test_large_requests_stay_in_their_domain_while_it_has_capacity() -> None:
-    """A calm day: turns of 20 kB cross domains only for a reason."""
+    """At low load, requests of 20 kB leave a domain only if it is loaded."""
     fleet = make_fleet()
     rng = random.Random(1)
     all_servers = frozenset(f"s{n}" for n in range(SERVERS))
@@ -120,10 +121,10 @@
 
 
 def test_preferred_servers_are_compared_among_many() -> None:
-    """With 1,500 servers each choice took 8 ms of a relay's processor.
+    """Comparing all of 1,500 servers took 8 ms of CPU time per selection.
 
-    Whatever is left out, the server that has read the prompt and the agreed one must be
-    among those compared, and an idle channel is used where nothing speaks against it.
+    The server that has the prompt cached and the rendezvous server must be among those
+    compared, and an idle connection must be used if nothing else differs.
     """
     rng = random.Random(3)
     fleet = many_servers(1_500)
@@ -151,7 +152,7 @@
 
 
 def test_many_servers_share_a_load_evenly() -> None:
-    """60 relays send 4,000 requests at once to 1,000 servers of 6 places each."""
+    """60 relays send 4,000 requests at once to 1,000 servers."""
     rng = random.Random(5)
     fleets = [many_servers(1_000) for _ in range(60)]
     counts: Counter[str] = Counter()
@@ -162,7 +163,7 @@
         assert chosen is not None
         chosen.open += 1
         counts[chosen.server.id] += 1
-    # Twice what a fair draw gives at most (4 at the mean, 13 at the fullest of 1,000).
+    # Twice the maximum of a fair draw (mean 4, maximum 13 of 1,000 servers).
     assert max(counts.values()) <= 26
 
 
--- a/tests/core/test_customers.py
+++ b/tests/core/test_customers.py
@@ -1,4 +1,4 @@
-"""Who holds which key, and names that customers choose alike."""
+"""Key lookup, and qualified names of programs and turns."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 def test_a_key_of_two_customers_is_valid_for_neither() -> None:
-    """By a slip of the operators two customers hold one key.
+    """Two customers are configured with the same key by mistake.
 
-    Whichever were taken, requests of the other would run in its name.  So neither is,
-    both go on with their other keys, and the log names them.
+    Requests with the key could run as the wrong customer. The key must be valid for
+    neither, their other keys must work, and the problem must name the customer.
     """
     shared, valid = digest_of(b"shared"), digest_of(b"own")
     customers = Customers([(ONE, [shared, valid]), (TWO, [shared])])
--- a/tests/core/test_fleet.py
+++ b/tests/core/test_fleet.py
@@ -1,4 +1,4 @@
-"""Which servers may get work, by their entries and their answers."""
+"""Eligibility of servers by their store entries and their responses."""
 
 from __future__ import annotations
 
@@ -37,10 +37,10 @@
 
 
 def test_a_restarted_server_loses_its_state() -> None:
-    """A full server crashes and comes back under the id that it had.
+    """A loaded server crashes and comes back under the same id.
 
-    It is empty and has read nothing.  Callers would go round it for its old load and
-    failures, or be led to it for a prompt that it no longer holds.
+    It is idle and has an empty cache. With its old state, requests would avoid it for
+    its load and failures, or go to it for a prompt that it no longer has cached.
     """
     under_test = Fleet(drain_s=2.0)
     first = server("a")._replace(born=100)
@@ -63,10 +63,11 @@
 
 
 def test_the_last_server_is_used_only_while_it_still_serves_after_removal() -> None:
-    """The only server's entry vanishes in ordinary times.
+    """The only server's entry is removed in normal operation.
 
-    It may be a lapse, so it is used a little longer; but a server that has left exits
-    two seconds later, and what is sent to it then reaches nobody, or somebody else.
+    Its lease may have expired, so it stays in use for a short time. A server that has
+    left exits after two seconds. Requests sent later reach no process, or the wrong
+    one.
     """
     under_test = fleet("a")
     under_test.remove("a", 10.0)
@@ -75,9 +76,9 @@
 
 
 def test_servers_with_entries_expired_in_an_outage_stay_in_use() -> None:
-    """The store was away and all entries lapsed; they come back one by one.
+    """All entries expired in an outage of the store and come back one by one.
 
-    If only those that are back were used, the first would get the load of all.
+    If only the returned servers were used, the first would get the load of all.
     """
     under_test = fleet("a", "b", "c")
     under_test.store_unsure = True
@@ -90,11 +91,11 @@
 
 
 def test_a_server_that_leaves_just_after_an_outage_is_not_used() -> None:
-    """The store has been back for a moment when a server's entry ends.
+    """A server's entry is removed shortly after the store has come back.
 
-    It was there in the first answer after the outage, so it has not lapsed: the server
-    leaves, and exits two seconds later.  Used beside others for as long as it might
-    serve, it got a request that had waited for its connection after it had gone.
+    The entry was present in the first listing after the outage, so the server is
+    leaving and exits after two seconds. If it stayed in use beside the others, a
+    request that waited for its connection could be sent after the exit.
     """
     under_test = fleet("a", "b")
     under_test.store_unsure = True
@@ -104,10 +105,10 @@
 
 
 def test_servers_stay_in_use_if_most_entries_are_removed_after_an_outage() -> None:
-    """The store is back, and entries whose heartbeats it has missed end after that.
+    """Entries are removed after an outage because their heartbeats were missed in it.
 
-    If only those that are left were used, they would get the load of all.  It is still
-    no longer than servers that leave serve.
+    If only the remaining servers were used, they would get the load of all. The removed
+    ones must not stay in use for longer than leaving servers serve.
     """
     under_test = fleet("a", "b", "c")
     under_test.store_unsure = True
@@ -131,9 +132,10 @@
 
 
 def test_one_failure_ejects_a_server_of_a_large_service() -> None:
-    """One of 30 servers answers errors at once; 60 relays send to it in turn.
+    """One of 30 servers fails at once; 60 relays send requests to it in turn.
 
-    Each waited for three failures in a row of its own, and took seconds to get them.
+    If each relay waited for three consecutive failures of its own, ejecting the server
+    would take seconds.
     """
     many = fleet(*(f"s{n}" for n in range(MIN_SERVERS_FAST_EJECTION)))
     few = fleet("s0", "s1")
@@ -146,7 +148,7 @@
 
 
 def test_own_requests_weigh_more_than_reported_ones() -> None:
-    """A report is some answers old; own requests are known exactly."""
+    """Reports are some responses old; own requests are known exactly."""
     under_test = fleet("a")
     state = under_test.get("a")
     assert state is not None
--- a/tests/core/test_policy.py
+++ b/tests/core/test_policy.py
@@ -1,4 +1,4 @@
-"""The policy's rules, one situation each."""
+"""Routing and queue order, one situation per test."""
 
 from __future__ import annotations
 
--- a/tests/core/test_quota.py
+++ b/tests/core/test_quota.py
@@ -1,4 +1,4 @@
-"""Quotas: buckets of holders, programs before single requests, and the sum of all."""
+"""Quotas: token buckets of holders, precedence of programs, and the total rate."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 MEMBERS = tuple(Member(f"k{n}", f"disk{n}", f"k{n}:1", f"d{n}") for n in range(3))
 SIMULATION_S = 60.0
 ROUNDING = 1e-9
-# The last ones showed a bucket that filled up each time a list was forgotten.
+# With the last five, buckets filled up each time an old member list was dropped.
 SEEDS = (*range(6), 122, 141, 148, 149, 155)
 ALLOWED = (QUOTA.rate_per_s * BOUNDS.window_s + QUOTA.burst) * (
     1 + BOUNDS.over
@@ -44,7 +44,7 @@
 
 
 def test_buckets_of_all_holders_add_up_to_the_quota() -> None:
-    """Whatever the quota, buckets and their inflow stay within what a window allows."""
+    """For any quota, buckets and their inflow stay within the limit of a window."""
     for rate in (0.1, 1.0, 8.0, 40.0, 500.0):
         for burst in (0.0, 1.0, rate, 10 * rate):
             for bounds in (BOUNDS, QuotaBounds(), QuotaBounds(2.0, 0.2, 3.0)):
@@ -54,7 +54,7 @@
                     bucket.depth + bucket.rate_per_s * window_s
                 )
                 allowed = (rate * bounds.window_s + burst) * (1 + bounds.over)
-                # A bucket that never holds a whole permit would never give one.
+                # A bucket that holds less than one permit would never grant any.
                 max_allowed = max(allowed + bounds.slack, 1.0 + rate * window_s)
                 assert max_granted <= max_allowed * (1 + ROUNDING)
                 assert bucket.depth >= 1.0
@@ -78,10 +78,10 @@
 
 
 def test_a_restarted_holder_grants_no_burst() -> None:
-    """All keepers are killed in the middle of a burst and come back at once.
+    """All keepers are killed during a burst and restart at once.
 
-    Nobody remembers what was given out.  A full bucket would hand the burst out twice,
-    and servers would get more of the customer than its quota allows.
+    They have no record of the granted permits. With full buckets they would grant the
+    burst twice, and servers would get more requests than the quota allows.
     """
     holder = make_holder(QUOTA)
     bucket = allowance(QUOTA, BOUNDS)
@@ -106,11 +106,11 @@
 
 
 def test_a_holder_continues_after_a_short_absence() -> None:
-    """Three of nine keepers fall out of the list and come back within a second.
+    """Three of nine keepers drop out of the member list and come back within a second.
 
-    All holders of some customers are then new ones.  If each waited, those customers'
-    callers would be refused for seconds, though nobody has acted in between.  What was
-    given out before stays given out.
+    For some customers all holders are then new. If each of them waited, the customers'
+    callers would be rejected for seconds, although no other member has granted permits.
+    Permits granted before the gap still count.
     """
     holder = make_holder(QUOTA)
     while is_granted(holder, 20.0, "p", is_first=False):
@@ -130,10 +130,10 @@
 
 
 def test_frequent_member_list_changes_fill_no_bucket() -> None:
-    """A member comes and goes, now and then and then many times a second, in a flood.
+    """A member joins and leaves in a flood, first slowly, then many times per second.
 
-    A holder remembers only so many lists.  When the one with which it began to hold is
-    forgotten it must not take itself for a new holder with a full bucket.
+    A holder stores a limited number of member lists. When the list that started its
+    term is dropped, it must not start a new term with a full bucket.
     """
     holder = make_holder(QUOTA)
     other = Member("k9", "disk9", "k9:1", "d0")
@@ -153,10 +153,11 @@
 
 
 def test_running_programs_have_precedence_over_new_ones() -> None:
-    """A customer begins far more programs than its quota carries, each of ten turns.
+    """A customer starts far more programs of ten turns than its quota covers.
 
-    Let in one by one as requests, all of them would starve halfway.  As it is those
-    that have begun find a permit for nearly every turn, and the others never begin.
+    If single requests were admitted without regard to programs, all programs would
+    stall halfway. Running programs must get a permit for nearly every turn, and the
+    excess programs must be rejected before their first turn.
     """
     holder = make_holder(Quota(30.0, 30.0))
     finished = refused_midway = refused_early = 0
@@ -182,10 +183,11 @@
 
 
 def test_a_new_holder_treats_no_program_as_new() -> None:
-    """All keepers are killed while programs are under way, and come back at once.
+    """All keepers are killed while programs are running, and restart at once.
 
-    To the new process all programs are unknown.  Taken for new ones they would wait
-    until the quota carries whole programs, though most need only a few turns more.
+    The new processes know no programs. If they treated running programs as new, these
+    would wait until the quota covers whole programs, though most need only a few more
+    turns.
     """
     holder = make_holder(QUOTA)
     granted_count = sum(
@@ -206,10 +208,10 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_the_sum_over_all_relays_stays_within_the_quota(seed: int) -> None:
-    """Relays flood; keepers are killed, wiped, cut off and frozen, some or all at once.
+    """Relays flood, while keepers are killed, wiped, partitioned and frozen.
 
-    Servers would get more of the customer than the operators allow if one part of the
-    quota were given out by two, or twice by one that has forgotten.
+    Servers would get more requests than the quota allows if two holders granted the
+    same part of the quota, or one holder granted it twice after losing its state.
     """
     simulation = QuotaSimulation(seed)
     simulation.run(SIMULATION_S)
@@ -223,7 +225,7 @@
 def test_the_simulation_detects_a_missing_safeguard(
     broken: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Buckets that are full after a restart, or holders that begin full at once."""
+    """Buckets are full after a restart, or new holders start at once with full ones."""
 
     class FullBucketAccount(quota_module._CustomerAccount):
         def __init__(self, bucket: Allowance, held_from: float, now: float) -> None:
--- a/tests/core/test_reach.py
+++ b/tests/core/test_reach.py
@@ -1,4 +1,4 @@
-"""Whether replicas can be reached: a cut process must say so in time, and only then."""
+"""Reachability of replicas: only a partitioned process reports them unreachable."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 def test_a_partition_is_detected_once_and_ends_with_the_first_success() -> None:
-    """All replicas are cut off while requests come at a steady rate.
+    """All replicas are partitioned off while requests arrive at a steady rate.
 
-    The first that runs out of time turns the judgement; those after it are refused at
-    once instead of waiting for their limit each.
+    The first request that times out changes the state. Later requests are rejected at
+    once and do not wait for their timeouts.
     """
     replicas = Reach()
     replicas.succeeded(10.0)
--- a/tests/core/test_reuse.py
+++ b/tests/core/test_reuse.py
@@ -1,4 +1,4 @@
-"""What servers have read of programs' prompts, with relays that don't talk."""
+"""Reuse of cached prompts, simulated with relays that do not communicate."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 FIRST_TURN_TOKENS: Final = 500
 TURN_TOKENS: Final = 500
 TURNS: Final = 9
-# One turn in six comes to another relay than the one before it.
+# Fraction of turns that come to another relay than the turn before.
 MOVE_PROBABILITY: Final = 1 / 6
 
 
 class SimulationResult(NamedTuple):
-    """Tokens read a turn, new ones included, and the busiest server's share."""
+    """Tokens computed per turn, and the highest load relative to the mean."""
 
     computed_tokens: float
     max_relative_load: float
 
 
 class Program:
-    """One line of turns."""
+    """A program with its sequence of turns."""
 
     def __init__(self, number: int, relay: int) -> None:
         self.number = number
@@ -51,7 +51,7 @@
 def simulate(
     *, programs_per_s: float, service_time_s: float, use_rendezvous: bool
 ) -> SimulationResult:
-    """Play 20 s of programs; each server's cache holds all that it has read."""
+    """Simulate 20 s of programs on servers with unlimited caches."""
     rng = random.Random(11)
     fleets = [Fleet() for _ in range(RELAYS)]
     for fleet in fleets:
@@ -115,11 +115,11 @@
 def test_independent_relays_agree_on_a_programs_server(
     programs_per_s: float,
 ) -> None:
-    """A busy day on five relays: callers' turns come to another relay now and then.
+    """Five loaded relays; one turn in six comes to another relay than the one before.
 
-    That relay has never seen the program.  Left to the load alone it sends the turn to
-    a server that has to read the whole prompt, while all that runs there waits.  About
-    550 tokens a turn are new whatever is decided.
+    That relay does not know the program. By load alone it would select a server that
+    has to compute the whole prompt and delays all requests running there. About 550
+    tokens per turn are new in any case.
     """
     with_rendezvous = simulate(
         programs_per_s=programs_per_s, service_time_s=0.6, use_rendezvous=True
--- a/tests/core/test_silence.py
+++ b/tests/core/test_silence.py
@@ -1,4 +1,4 @@
-"""A server that takes requests and answers none, alone and when all do so."""
+"""Attempt timeouts and the retry budget for unresponsive servers."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 def test_retries_to_an_overloaded_service_are_limited() -> None:
-    """All servers of a service are silent at once, as in the worst of a burst.
+    """All servers of a service are unresponsive at once, as under overload.
 
-    If each request went to a second server the service would have twice the load when
-    it can bear least.  Only a tenth of the requests are sent again.
+    If each request were retried on a second server, the load would double when the
+    service can handle it least. Only a tenth of the requests may be retried.
     """
     policy = Silence()
     policy.answered("svc", 0.01)
--- a/tests/core/test_stopping.py
+++ b/tests/core/test_stopping.py
@@ -1,4 +1,4 @@
-"""When a process that was told to stop takes its last request."""
+"""Times at which a stopping process accepts its last request and ends."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 @pytest.mark.parametrize("longest_s", [5.0, 30.0])
 def test_requests_are_accepted_until_the_platform_reroutes(longest_s: float) -> None:
-    """Requests may take longer than the grace period leaves.
+    """The timeouts of requests may exceed the grace period.
 
-    Refused from the signal on, callers would be sent away by a process that the
-    platform still counts as ready.
+    If the process rejected requests from the signal on, callers would be rejected by a
+    process that the platform still considers ready.
     """
     assert Stop(100.0, 8.0).last_call_at(longest_s) == 100.0 + NOTICE_S
 
@@ -32,7 +32,7 @@
 
 
 def test_with_an_unlimited_route_requests_are_accepted_until_rerouted() -> None:
-    """A caller may say that it waits for longer than one that says nothing."""
+    """A caller's own timeout may exceed the default of such a route."""
     unlimited = route("unsafe", RequestKind.UNSAFE, timeout_s=0.0)
     table = RouteTable(1, (unlimited,), {}, CallerLimits())
     stop = Stop(0.0, 60.0)
--- a/tests/core/test_storetimes.py
+++ b/tests/core/test_storetimes.py
@@ -1,4 +1,4 @@
-"""Limits of calls to the store, derived from the time to find it again."""
+"""Timeouts of store calls, derived from the time to read the store again."""
 
 from __future__ import annotations
 
--- a/tests/core/test_watchers.py
+++ b/tests/core/test_watchers.py
@@ -1,4 +1,4 @@
-"""Who watches the store for all, and when the word of watchers is enough."""
+"""Choice of watchers, and when their updates suffice."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def test_watchers_exceed_tolerated_failures_and_are_in_different_domains() -> None:
-    """All watchers lie in one failure domain, and it goes."""
+    """All watchers must not be in one failure domain, which can fail as a whole."""
     for count in (3, 8, 24, 60):
         selected = watchers_of(view_of(count), losses=2)
         assert len(selected) == 3
@@ -56,7 +56,7 @@
 
 
 def test_values_come_from_one_watcher_and_fail_over_to_another() -> None:
-    """A configuration of 100 kB from each watcher would fill a link of 15 Mbit/s."""
+    """Configurations of 100 kB from each watcher would saturate a link of 15 Mbit/s."""
     view = view_of(24)
     selected = [member.address for member in watchers_of(view, losses=2)]
     own_subscription = make_test_subscription(view)
@@ -94,9 +94,9 @@
 
 
 def test_a_newer_revision_ends_the_coverage_after_the_grace_time() -> None:
-    """A relay claims to be in touch and serves by an older configuration.
+    """A relay must not consider itself up to date with an old configuration.
 
-    One watcher lags and confirms what the relay holds; another one is ahead.
+    One watcher lags and confirms the relay's revision; another one is ahead.
     """
     view = view_of(24)
     selected = [member.address for member in watchers_of(view, losses=2)]
@@ -137,9 +137,9 @@
 
 
 def test_coverage_continues_while_watchers_change() -> None:
-    """Keepers join one after another at a start, and other members watch each time.
+    """Keepers join one after another at startup, and the watchers change each time.
 
-    Every process went back to its own watch with each of them: two calls each.
+    Processes must not fall back to watches of their own, which costs two calls each.
     """
     first, last = view_of(8), view_of(24)
     own_subscription = make_test_subscription(first)
