--- a/tests/core/test_customers.py
+++ b/tests/core/test_customers.py
@@ -32,4 +32,4 @@
 def test_names_of_two_customers_never_collide() -> None:
     assert scoped("a", "p") != scoped("b", "p")
     assert scoped("", "p") == "p"
-    assert scoped("a", "") == "", "no turn stays no turn"
+    assert scoped("a", "") == "", "an empty name stays empty"
--- a/tests/core/test_quota.py
+++ b/tests/core/test_quota.py
@@ -177,7 +177,7 @@
                 finished += 1
                 del turns[program]
     admitted = finished + len(turns)
-    assert refused_early > admitted, "most of what is too much never begins"
+    assert refused_early > admitted, "most excess programs never start"
     assert finished >= 0.6 * 60.0 * allowance(Quota(30.0, 30.0), BOUNDS).rate_per_s / 10
     assert refused_midway <= 0.2 * 10 * finished
 
@@ -216,7 +216,7 @@
     simulation = QuotaSimulation(seed)
     simulation.run(SIMULATION_S)
     assert len(simulation.arrivals) > QUOTA.rate_per_s * SIMULATION_S / 8, (
-        "the play is no idle one"
+        "the relays have sent a considerable load"
     )
     assert simulation.max_arrivals_in_window() <= ALLOWED
 
--- a/tests/core/test_silence.py
+++ b/tests/core/test_silence.py
@@ -13,7 +13,7 @@
 
 def test_an_attempt_times_out_after_a_multiple_of_the_mean_response_time() -> None:
     policy = Silence()
-    assert policy.limit_s("svc") is None, "nothing is usual yet"
+    assert policy.limit_s("svc") is None, "no response time is known yet"
     policy.answered("svc", 0.01)
     assert policy.limit_s("svc") == MIN_TIMEOUT_S
     for _ in range(300):
--- a/wisteriastair/core/__init__.py
+++ b/wisteriastair/core/__init__.py
@@ -1,36 +1,36 @@
 """The deterministic core: state machines without input or output.
 
-Every daemon is a thin shell around the classes of this package.  A shell hands
-in typed events together with the time, and carries out the typed effects that
-come back.  Nothing here reads a clock, draws a random number, opens a socket or
-awaits; an import contract in ``pyproject.toml`` keeps it that way.  The same code
-is therefore explored by the model checker, replayed by golden sessions and
-driven by failure tests in virtual time.
+Each daemon is a thin shell around the classes of this package. A shell passes in typed
+events together with the time, and executes the typed effects that are returned. Nothing
+in this package reads a clock, draws a random number, opens a socket or awaits, which an
+import contract in ``pyproject.toml`` enforces. The same code can therefore be explored
+by the model checker, replayed by golden sessions and driven by failure tests in virtual
+time.
 
 Modules, from the bottom up:
 
 ``records``
-    The log records of a program and their codec.
+    Log records of a program and their codec.
 ``wire``
-    The messages between the processes of the system.
+    Messages between the processes of the system.
 ``events``
-    What a shell hands in and what it is asked to do.
+    Events and effects exchanged with a shell.
 ``config``
     The operators' configuration as a fold of changes.
 ``docs``
-    Spreading the configuration and the slot table.
+    Distribution of the configuration and the slot table.
 ``peers``
     Liveness, incarnations and failure domains of other processes.
 ``replica``, ``slotlog``, ``slotstate``, ``slots``, ``copies``
-    Who carries a slot, and the copy of its log.
+    Roles of the members of a slot, and replication of its log.
 ``placement``, ``balance``
-    Changing the slot table, and what for.
+    Changes of the slot table, and the policy for them.
 ``program``, ``running``, ``carrier``, ``calls``, ``admission``
-    The steps of a program, and the process that carries them.
+    The steps of a program, and the primary that executes them.
 ``dispatch``, ``routing``
-    Which server gets a call.
+    Choice of a server for a call.
 ``gate``, ``ordering``
-    The one way to a backend server.
+    The only path to a backend server.
 ``side``, ``entry``
     The two daemons, composed of the above.
 """
--- a/wisteriastair/core/affinity.py
+++ b/wisteriastair/core/affinity.py
@@ -58,7 +58,7 @@
         # Cached affinity servers for the most recent list of servers.
         self._servers: list[ServerState] = []
         self._ids: list[str] = []
-        self._homes: dict[tuple[str, int], frozenset[str]] = {}
+        self._cached_servers: dict[tuple[str, int], frozenset[str]] = {}
 
     def note(self, prefix: str, tokens: int, now: float) -> None:
         """Record a request for a prefix."""
@@ -83,11 +83,13 @@
         step = max(1, int(FRACTION_STEPS * budget_tokens / self._active_tokens))
         if servers is not self._servers:
             self._update_servers(servers)
-        homes = self._homes.get((prefix, step))
+        homes = self._cached_servers.get((prefix, step))
         if homes is None:
-            if len(self._homes) >= MAX_CACHED_RESULTS:
-                self._homes.clear()
-            homes = self._homes[prefix, step] = _homes(prefix, servers, step)
+            if len(self._cached_servers) >= MAX_CACHED_RESULTS:
+                self._cached_servers.clear()
+            homes = self._cached_servers[prefix, step] = _choose_servers(
+                prefix, servers, step
+            )
         return homes
 
     def _update_servers(self, servers: list[ServerState]) -> None:
@@ -96,10 +98,12 @@
         ids = [state.server.id for state in servers]
         if ids != self._ids:
             self._ids = ids
-            self._homes.clear()
+            self._cached_servers.clear()
 
 
-def _homes(prefix: str, states: list[ServerState], step: int) -> frozenset[str]:
+def _choose_servers(
+    prefix: str, states: list[ServerState], step: int
+) -> frozenset[str]:
     by_domain: dict[str, list[str]] = {}
     for state in states:
         by_domain.setdefault(state.server.domain, []).append(state.server.id)
--- a/wisteriastair/core/hashing.py
+++ b/wisteriastair/core/hashing.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing and ids that every process must compute alike.
+"""Rendezvous hashing and ids that all processes must compute identically.
 
 With rendezvous hashing all processes agree on an assignment without communication: each
 ranks the candidates by a hash of item and candidate. If a candidate is removed, only
--- a/wisteriastair/core/quota.py
+++ b/wisteriastair/core/quota.py
@@ -3,7 +3,7 @@
 Load pattern: the callers of a customer reach any relay, move between failure domains,
 and may send many times their usual load. Each relay sees only a part of it. A request
 of a customer with a quota therefore needs a permit from one of the customer's holders,
-which all processes choose alike by rendezvous hash. Each holder owns an equal part of
+which all processes determine by rendezvous hash. Each holder owns an equal part of
 the quota as a token bucket of its own. The loss of a holder thus costs only its part of
 the quota, and holders need no agreement.
 
