--- a/tests/core/quota_world.py
+++ b/tests/core/quota_world.py
@@ -14,14 +14,20 @@
 from itertools import count
 from typing import NamedTuple
 
-from tests.windows import most_in_a_window
+from tests.windows import max_in_a_window
 from wisteriastair.core.customers import Customer, Quota
 from wisteriastair.core.keeper import KeeperCore
-from wisteriastair.core.ledgerwire import AskPermit, LedgerMessage, PermitReply
+from wisteriastair.core.ledgerwire import LedgerMessage, PermitReply, PermitRequest
 from wisteriastair.core.membership import Member, View, next_view
-from wisteriastair.core.quota import USE_S, Answer, QuotaBounds, allowance, holders_of
-
-BOUNDS = QuotaBounds(window_s=5.0, over=0.1, slack=20.0)
+from wisteriastair.core.quota import (
+    PERMIT_LIFETIME_S,
+    PermitStatus,
+    QuotaBounds,
+    holder_quota,
+    quota_holders,
+)
+
+BOUNDS = QuotaBounds(window_s=5.0, excess_fraction=0.1, slack_requests=20.0)
 QUOTA = Quota(rate_per_s=40.0, burst=40.0)
 NAME = "customer"
 LOSSES = 2
@@ -37,7 +43,7 @@
 # Delay from the start of a flood to a fault in seconds; buckets are empty by then.
 FAULT_DELAY_S = (0.3, 1.0)
 # Delay from a permit to the arrival of its request, in seconds.
-PERMIT_USE_DELAY_S = (0.0, 0.8 * USE_S)
+PERMIT_USE_DELAY_S = (0.0, 0.8 * PERMIT_LIFETIME_S)
 
 
 class _Keeper:
@@ -120,7 +126,7 @@
 
     def max_arrivals_in_window(self) -> int:
         """Return the maximum number of arrivals in any time window."""
-        return most_in_a_window([a.at for a in self.arrivals], BOUNDS.window_s)
+        return max_in_a_window([a.at for a in self.arrivals], BOUNDS.window_s)
 
     # Faults
 
@@ -178,16 +184,16 @@
         core.tick(now)
         if self.now >= keeper.store_unreachable_until:
             self._sync_with_store(core, now)
-        batch = core.take_batch()
+        batch = core.next_batch()
         if batch is not None:
             keeper.view = core.view
-            core.synced(batch)
-        for to, message in core.take_outbox():
+            core.on_synced(batch)
+        for to, message in core.drain_outbox():
             self._send(f"{keeper.name}:1#a", to, message)
 
     def _sync_with_store(self, core: KeeperCore, now: float) -> None:
         core.adopt(self._stored_view, now, self._revision)
-        proposal = next_view(core.view, core.wishes(now), LOSSES)
+        proposal = next_view(core.view, core.observation(now), LOSSES)
         if proposal is None and core.has_copied():
             proposal = core.view._replace(synced=(*core.view.synced, core.me.disk))
         if proposal is not None:
@@ -226,14 +232,14 @@
         """Request several permits per holder, often by an outdated member list."""
         if self._random.random() < 0.2:
             self._views[relay] = self._stored_view
-        holders = holders_of(
-            self._views[relay].members, NAME, allowance(QUOTA, BOUNDS).holders
+        holders = quota_holders(
+            self._views[relay].members, NAME, holder_quota(QUOTA, BOUNDS).holders
         )
         for member in holders:
             for _ in range(self._random.randint(0, 4)):
                 op = next(self._op)
                 self._ops[op] = round(self.now / STEP_S)
-                request = AskPermit(op, NAME, f"p{op % 50}", "", True)
+                request = PermitRequest(op, NAME, f"p{op % 50}", "", True)
                 self._send(str(relay), member.address, request)
 
     def _receive(self, relay: int, message: LedgerMessage) -> None:
@@ -241,7 +247,7 @@
             return
         reply_delay_s = self.now - self._ops.pop(message.op) * STEP_S
         permit = message.permit
-        if permit.answer is not Answer.GRANTED or reply_delay_s > 0.1 + STEP_S:
+        if permit.answer is not PermitStatus.GRANTED or reply_delay_s > 0.1 + STEP_S:
             return
         arrival_at = (
             self.now + permit.wait_s + self._random.uniform(*PERMIT_USE_DELAY_S)
--- a/tests/core/test_affinity.py
+++ b/tests/core/test_affinity.py
@@ -7,8 +7,8 @@
 from collections import OrderedDict
 from typing import Final, NamedTuple
 
-from wisteriastair.core.affinity import ACTIVE_WINDOW_S, Beginnings
-from wisteriastair.core.choice import Want, choose
+from wisteriastair.core.affinity import ACTIVE_WINDOW_S, PrefixAffinity
+from wisteriastair.core.choice import SelectionContext, select_server
 from wisteriastair.core.fleet import Fleet, Load, Server
 
 RELAYS: Final = 8
@@ -43,7 +43,7 @@
     """Simulate 20 s of turns with an uneven popularity of prefixes."""
     rng = random.Random(3)
     fleets = [make_fleet() for _ in range(RELAYS)]
-    affinities = [Beginnings(memory_tokens) for _ in range(RELAYS)]
+    affinities = [PrefixAffinity(memory_tokens) for _ in range(RELAYS)]
     all_servers = frozenset(f"s{n}" for n in range(SERVERS))
     caches: dict[str, OrderedDict[str, None]] = {n: OrderedDict() for n in all_servers}
     running = dict.fromkeys(all_servers, 0)
@@ -59,18 +59,20 @@
             running[name] -= 1
             state = fleets[relay].get(name)
             assert state is not None
-            state.open -= 1
-            state.take_load(Load(running[name], 0, SLOTS), end)
+            state.in_flight -= 1
+            state.record_load(Load(running[name], 0, SLOTS), end)
         relay = rng.randrange(RELAYS)
         prefix = f"b{rng.choices(range(PREFIXES), weights)[0]}"
-        affinities[relay].note(prefix, PREFIX_TOKENS, now)
-        servers = fleets[relay].usable("svc", now)
-        homes = affinities[relay].homes(prefix, servers)
-        context = Want(f"d{relay % DOMAINS}", (), frozenset(), 20.0, all_servers, homes)
-        chosen = choose(servers, context, rng.randrange, now)
+        affinities[relay].record_use(prefix, PREFIX_TOKENS, now)
+        servers = fleets[relay].eligible_servers("svc", now)
+        affinity_servers = affinities[relay].affinity_servers(prefix, servers)
+        context = SelectionContext(
+            f"d{relay % DOMAINS}", (), frozenset(), 20.0, all_servers, affinity_servers
+        )
+        chosen = select_server(servers, context, rng.randrange, now)
         assert chosen is not None
         name = chosen.server.id
-        chosen.open += 1
+        chosen.in_flight += 1
         running[name] += 1
         served[name] += 1
         cache = caches[name]
@@ -104,33 +106,36 @@
 
 
 def test_prefixes_that_fit_are_not_restricted() -> None:
-    affinities = Beginnings(520_000)
-    servers = make_fleet().usable("svc", 0.0)
+    affinities = PrefixAffinity(520_000)
+    servers = make_fleet().eligible_servers("svc", 0.0)
     for number in range(6):
-        affinities.note(f"b{number}", PREFIX_TOKENS, 0.0)
-    assert affinities.homes("b0", servers) == frozenset()
+        affinities.record_use(f"b{number}", PREFIX_TOKENS, 0.0)
+    assert affinities.affinity_servers("b0", servers) == frozenset()
 
 
 def test_unused_prefixes_expire() -> None:
-    affinities = Beginnings(MEMORY_TOKENS)
-    servers = make_fleet().usable("svc", 0.0)
+    affinities = PrefixAffinity(MEMORY_TOKENS)
+    servers = make_fleet().eligible_servers("svc", 0.0)
     for number in range(PREFIXES):
-        affinities.note(f"b{number}", PREFIX_TOKENS, 0.0)
-    assert affinities.homes("b0", servers)
-    affinities.note("b0", PREFIX_TOKENS, ACTIVE_WINDOW_S + 1.0)
-    assert affinities.homes("b0", servers) == frozenset()
+        affinities.record_use(f"b{number}", PREFIX_TOKENS, 0.0)
+    assert affinities.affinity_servers("b0", servers)
+    affinities.record_use("b0", PREFIX_TOKENS, ACTIVE_WINDOW_S + 1.0)
+    assert affinities.affinity_servers("b0", servers) == frozenset()
 
 
 def test_relays_agree_and_a_removed_server_moves_only_its_own_prefixes() -> None:
     fleet = make_fleet()
-    before = fleet.usable("svc", 0.0)
+    before = fleet.eligible_servers("svc", 0.0)
     after = [state for state in before if state.server.id != "s0"]
-    first, second = Beginnings(MEMORY_TOKENS), Beginnings(MEMORY_TOKENS)
+    first, second = PrefixAffinity(MEMORY_TOKENS), PrefixAffinity(MEMORY_TOKENS)
     for number in range(PREFIXES):
-        first.note(f"b{number}", PREFIX_TOKENS, 0.0)
-        second.note(f"b{PREFIXES - 1 - number}", PREFIX_TOKENS, 0.0)
+        first.record_use(f"b{number}", PREFIX_TOKENS, 0.0)
+        second.record_use(f"b{PREFIXES - 1 - number}", PREFIX_TOKENS, 0.0)
     for number in range(PREFIXES):
-        homes = first.homes(f"b{number}", before)
-        assert homes == second.homes(f"b{number}", before)
-        assert {s.server.domain for s in before if s.server.id in homes} == {"d0", "d1"}
-        assert homes - {"s0"} <= first.homes(f"b{number}", after)
+        affinity_servers = first.affinity_servers(f"b{number}", before)
+        assert affinity_servers == second.affinity_servers(f"b{number}", before)
+        assert {s.server.domain for s in before if s.server.id in affinity_servers} == {
+            "d0",
+            "d1",
+        }
+        assert affinity_servers - {"s0"} <= first.affinity_servers(f"b{number}", after)
--- a/tests/core/test_choice.py
+++ b/tests/core/test_choice.py
@@ -7,9 +7,9 @@
 from collections import Counter
 from typing import NamedTuple
 
-from wisteriastair.core.choice import Want, choose
+from wisteriastair.core.choice import SelectionContext, select_server
 from wisteriastair.core.fleet import Fleet, Load, Server, ServerState
-from wisteriastair.core.reuse import PromptPart
+from wisteriastair.core.reuse import PromptSegment
 
 RELAYS = 5
 SERVERS = 6
@@ -54,15 +54,19 @@
             end, relay, name = heapq.heappop(ends)
             running[name] -= 1
             state = server_state(fleets[relay], name)
-            state.open -= 1
-            state.take_load(Load(running[name], 0, SLOTS), end)
-            state.succeeded(service_time_s * (3 if name == slow_server else 1))
+            state.in_flight -= 1
+            state.record_load(Load(running[name], 0, SLOTS), end)
+            state.record_success(service_time_s * (3 if name == slow_server else 1))
         relay = rng.randrange(RELAYS)
-        context = Want(f"d{relay % 3}", (), frozenset(), size_kb, all_servers)
-        selected = choose(fleets[relay].usable("svc", now), context, rng.randrange, now)
+        context = SelectionContext(
+            f"d{relay % 3}", (), frozenset(), size_kb, all_servers
+        )
+        selected = select_server(
+            fleets[relay].eligible_servers("svc", now), context, rng.randrange, now
+        )
         assert selected is not None
         name = selected.server.id
-        selected.open += 1
+        selected.in_flight += 1
         running[name] += 1
         served[name] += 1
         max_waiting = max(max_waiting, running[name] - SLOTS)
@@ -102,13 +106,17 @@
     fleet = make_fleet()
     rng = random.Random(1)
     all_servers = frozenset(f"s{n}" for n in range(SERVERS))
-    context = Want("d1", (), frozenset(), 20.0, all_servers)
+    context = SelectionContext("d1", (), frozenset(), 20.0, all_servers)
     for _ in range(50):
-        chosen = choose(fleet.usable("svc", 0.0), context, rng.randrange, 0.0)
+        chosen = select_server(
+            fleet.eligible_servers("svc", 0.0), context, rng.randrange, 0.0
+        )
         assert chosen is not None and chosen.server.domain == "d1"
     for name in ("s1", "s4"):
-        server_state(fleet, name).open = 4
-    chosen = choose(fleet.usable("svc", 0.0), context, rng.randrange, 0.0)
+        server_state(fleet, name).in_flight = 4
+    chosen = select_server(
+        fleet.eligible_servers("svc", 0.0), context, rng.randrange, 0.0
+    )
     assert chosen is not None and chosen.server.domain != "d1"
 
 
@@ -128,27 +136,27 @@
     """
     rng = random.Random(3)
     fleet = many_servers(1_500)
-    servers = fleet.usable("svc", 0.0)
-    parts = (PromptPart("shared", 12_600), PromptPart("line", 1_000))
+    servers = fleet.eligible_servers("svc", 0.0)
+    parts = (PromptSegment("shared", 12_600), PromptSegment("line", 1_000))
     rendezvous_id = "s701"
     for _ in range(50):
-        context = Want(
+        context = SelectionContext(
             "d1", parts, frozenset(), 17.0, frozenset(), rendezvous_id=rendezvous_id
         )
-        chosen = choose(servers, context, rng.randrange, 0.0)
+        chosen = select_server(servers, context, rng.randrange, 0.0)
         assert chosen is not None and chosen.server.id == rendezvous_id
-    server_state(fleet, "s702").parts.note(parts)
+    server_state(fleet, "s702").cached_segments.add(parts)
     for _ in range(50):
-        context = Want(
+        context = SelectionContext(
             "d1", parts, frozenset(), 17.0, frozenset(), rendezvous_id=rendezvous_id
         )
-        chosen = choose(servers, context, rng.randrange, 0.0)
+        chosen = select_server(servers, context, rng.randrange, 0.0)
         assert chosen is not None and chosen.server.id == "s702"
     connected = frozenset(f"s{n}.0" for n in range(1, 200, 5))
     for _ in range(50):
-        context = Want("d1", (), frozenset(), 1.0, connected)
-        chosen = choose(servers, context, rng.randrange, 0.0)
-        assert chosen is not None and chosen.start in connected
+        context = SelectionContext("d1", (), frozenset(), 1.0, connected)
+        chosen = select_server(servers, context, rng.randrange, 0.0)
+        assert chosen is not None and chosen.incarnation in connected
 
 
 def test_many_servers_share_a_load_evenly() -> None:
@@ -158,10 +166,12 @@
     counts: Counter[str] = Counter()
     for number in range(4_000):
         fleet = fleets[number % 60]
-        context = Want(f"d{number % 5}", (), frozenset(), 1.0, frozenset())
-        chosen = choose(fleet.usable("svc", 0.0), context, rng.randrange, 0.0)
+        context = SelectionContext(f"d{number % 5}", (), frozenset(), 1.0, frozenset())
+        chosen = select_server(
+            fleet.eligible_servers("svc", 0.0), context, rng.randrange, 0.0
+        )
         assert chosen is not None
-        chosen.open += 1
+        chosen.in_flight += 1
         counts[chosen.server.id] += 1
     # Twice the maximum of a fair draw (mean 4, maximum 13 of 1,000 servers).
     assert max(counts.values()) <= 26
@@ -170,6 +180,6 @@
 def test_servers_that_rejected_a_request_are_not_selected_again() -> None:
     fleet = make_fleet()
     tried = frozenset(f"s{n}" for n in range(SERVERS))
-    context = Want("d1", (), tried, 0.0, frozenset())
-    servers = fleet.usable("svc", 0.0)
-    assert choose(servers, context, random.Random(1).randrange, 0.0) is None
+    context = SelectionContext("d1", (), tried, 0.0, frozenset())
+    servers = fleet.eligible_servers("svc", 0.0)
+    assert select_server(servers, context, random.Random(1).randrange, 0.0) is None
--- a/tests/core/test_fleet.py
+++ b/tests/core/test_fleet.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from wisteriastair.core.fleet import (
-    FAILURES_TO_REST,
+    EJECTION_FAILURES,
     MIN_SERVERS_FAST_EJECTION,
     OTHER_REQUEST_WEIGHT,
     OWN_REQUEST_WEIGHT,
@@ -11,7 +11,7 @@
     Load,
     Server,
 )
-from wisteriastair.core.reuse import PromptPart
+from wisteriastair.core.reuse import PromptSegment
 
 
 def server(server_id: str, *, draining: bool = False) -> Server:
@@ -25,15 +25,15 @@
     return made
 
 
-def usable(under_test: Fleet, now: float) -> set[str]:
-    return {state.server.id for state in under_test.usable("svc", now)}
+def eligible_servers(under_test: Fleet, now: float) -> set[str]:
+    return {state.server.id for state in under_test.eligible_servers("svc", now)}
 
 
 def test_a_leaving_server_gets_no_new_requests() -> None:
     under_test = fleet("a", "b", "c")
     under_test.put(server("a", draining=True))
     under_test.remove("b", 10.0)
-    assert usable(under_test, 10.1) == {"c"}
+    assert eligible_servers(under_test, 10.1) == {"c"}
 
 
 def test_a_restarted_server_loses_its_state() -> None:
@@ -47,19 +47,19 @@
     under_test.put(first)
     before = under_test.get("a")
     assert before is not None
-    before.open = 3
-    before.take_load(Load(8, 8, 8), 10.0)
-    before.parts.note([PromptPart("prompt", 100)])
-    before.full_until = 12.0
-    for _ in range(FAILURES_TO_REST):
-        before.failed(10.0)
+    before.in_flight = 3
+    before.record_load(Load(8, 8, 8), 10.0)
+    before.cached_segments.add([PromptSegment("prompt", 100)])
+    before.overloaded_until = 12.0
+    for _ in range(EJECTION_FAILURES):
+        before.record_failure(10.0)
     assert under_test.put(first._replace(draining=True)) is None
     assert under_test.put(first._replace(born=200)) == first._replace(draining=True)
     after = under_test.get("a")
     assert after is not None and after is not before
-    assert (after.load(10.1), after.open, after.ejected_until) == (0.0, 0, 0.0)
-    assert "prompt" not in after.parts and after.full_until == 0.0
-    assert usable(under_test, 10.1) == {"a"}
+    assert (after.load(10.1), after.in_flight, after.ejected_until) == (0.0, 0, 0.0)
+    assert "prompt" not in after.cached_segments and after.overloaded_until == 0.0
+    assert eligible_servers(under_test, 10.1) == {"a"}
 
 
 def test_the_last_server_is_used_only_while_it_still_serves_after_removal() -> None:
@@ -71,8 +71,8 @@
     """
     under_test = fleet("a")
     under_test.remove("a", 10.0)
-    assert usable(under_test, 11.0) == {"a"}
-    assert usable(under_test, 11.9) == set()
+    assert eligible_servers(under_test, 11.0) == {"a"}
+    assert eligible_servers(under_test, 11.9) == set()
 
 
 def test_servers_with_entries_expired_in_an_outage_stay_in_use() -> None:
@@ -81,13 +81,13 @@
     If only the returned servers were used, the first would get the load of all.
     """
     under_test = fleet("a", "b", "c")
-    under_test.store_unsure = True
+    under_test.store_unstable = True
     for server_id in ("a", "b", "c"):
-        under_test.remove(server_id, 10.0, lapsed=True)
+        under_test.remove(server_id, 10.0, is_lease_expired=True)
     under_test.put(server("a"))
-    assert usable(under_test, 11.0) == {"a", "b", "c"}
-    assert usable(under_test, 12.7) == {"a"}
-    assert [removed.id for removed in under_test.expire(12.7)] == ["b", "c"]
+    assert eligible_servers(under_test, 11.0) == {"a", "b", "c"}
+    assert eligible_servers(under_test, 12.7) == {"a"}
+    assert [removed.id for removed in under_test.remove_expired(12.7)] == ["b", "c"]
 
 
 def test_a_server_that_leaves_just_after_an_outage_is_not_used() -> None:
@@ -98,10 +98,10 @@
     request that waited for its connection could be sent after the exit.
     """
     under_test = fleet("a", "b")
-    under_test.store_unsure = True
+    under_test.store_unstable = True
     under_test.remove("a", 10.0)
-    assert usable(under_test, 10.1) == {"b"}
-    assert usable(under_test, 11.5) == {"b"}
+    assert eligible_servers(under_test, 10.1) == {"b"}
+    assert eligible_servers(under_test, 11.5) == {"b"}
 
 
 def test_servers_stay_in_use_if_most_entries_are_removed_after_an_outage() -> None:
@@ -111,11 +111,11 @@
     ones must not stay in use for longer than leaving servers serve.
     """
     under_test = fleet("a", "b", "c")
-    under_test.store_unsure = True
+    under_test.store_unstable = True
     for server_id in ("a", "b"):
         under_test.remove(server_id, 10.0)
-    assert usable(under_test, 10.9) == {"a", "b", "c"}
-    assert usable(under_test, 11.1) == {"c"}
+    assert eligible_servers(under_test, 10.9) == {"a", "b", "c"}
+    assert eligible_servers(under_test, 11.1) == {"c"}
 
 
 def test_consecutive_failures_eject_a_server_but_never_all_servers() -> None:
@@ -123,12 +123,12 @@
     for server_id in ("a", "b"):
         state = under_test.get(server_id)
         assert state is not None
-        ejections = [state.failed(10.0) for _ in range(FAILURES_TO_REST)]
+        ejections = [state.record_failure(10.0) for _ in range(EJECTION_FAILURES)]
         assert ejections == [False, False, True]
         if server_id == "a":
-            assert usable(under_test, 10.1) == {"b"}
-    assert usable(under_test, 10.1) == {"a", "b"}
-    assert usable(under_test, 11.1) == {"a", "b"}
+            assert eligible_servers(under_test, 10.1) == {"b"}
+    assert eligible_servers(under_test, 10.1) == {"a", "b"}
+    assert eligible_servers(under_test, 11.1) == {"a", "b"}
 
 
 def test_one_failure_ejects_a_server_of_a_large_service() -> None:
@@ -142,9 +142,11 @@
     for under_test in (many, few):
         state = under_test.get("s0")
         assert state is not None
-        under_test.failed(state, 10.0)
-    assert "s0" not in usable(many, 10.1) and "s0" in usable(many, 11.1)
-    assert "s0" in usable(few, 10.1)
+        under_test.record_failure(state, 10.0)
+    assert "s0" not in eligible_servers(many, 10.1) and "s0" in eligible_servers(
+        many, 11.1
+    )
+    assert "s0" in eligible_servers(few, 10.1)
 
 
 def test_own_requests_weigh_more_than_reported_ones() -> None:
@@ -152,10 +154,10 @@
     under_test = fleet("a")
     state = under_test.get("a")
     assert state is not None
-    state.open = 2
-    state.take_load(Load(5, 1, 8), 10.0)
+    state.in_flight = 2
+    state.record_load(Load(5, 1, 8), 10.0)
     others = OTHER_REQUEST_WEIGHT * 4
     assert state.load(10.1) == 2 * OWN_REQUEST_WEIGHT + others
-    state.open = 5
+    state.in_flight = 5
     assert state.load(10.1) == 5 * OWN_REQUEST_WEIGHT + others
     assert state.load(12.0) == 5 * OWN_REQUEST_WEIGHT
--- a/tests/core/test_quota.py
+++ b/tests/core/test_quota.py
@@ -11,13 +11,13 @@
 from wisteriastair.core.quota import (
     HANDOVER_S,
     MAX_MEMBER_LISTS,
-    Allowance,
-    Answer,
+    HolderQuota,
+    PermitStatus,
     QuotaBounds,
     QuotaHolder,
-    allowance,
-    asking_order,
-    holders_of,
+    holder_quota,
+    query_order,
+    quota_holders,
 )
 
 MEMBERS = tuple(Member(f"k{n}", f"disk{n}", f"k{n}:1", f"d{n}") for n in range(3))
@@ -26,8 +26,8 @@
 # With the last five, buckets filled up each time an old member list was dropped.
 SEEDS = (*range(6), 122, 141, 148, 149, 155)
 ALLOWED = (QUOTA.rate_per_s * BOUNDS.window_s + QUOTA.burst) * (
-    1 + BOUNDS.over
-) + BOUNDS.slack
+    1 + BOUNDS.excess_fraction
+) + BOUNDS.slack_requests
 
 
 def make_holder(quota: Quota | None, me: Member = MEMBERS[0]) -> QuotaHolder:
@@ -40,7 +40,7 @@
     holder: QuotaHolder, now: float, program: str, *, is_first: bool
 ) -> bool:
     kind = "talk" if is_first else ""
-    return holder.ask(NAME, program, kind, False, now).answer is Answer.GRANTED
+    return holder.ask(NAME, program, kind, False, now).answer is PermitStatus.GRANTED
 
 
 def test_buckets_of_all_holders_add_up_to_the_quota() -> None:
@@ -48,33 +48,39 @@
     for rate in (0.1, 1.0, 8.0, 40.0, 500.0):
         for burst in (0.0, 1.0, rate, 10 * rate):
             for bounds in (BOUNDS, QuotaBounds(), QuotaBounds(2.0, 0.2, 3.0)):
-                bucket = allowance(Quota(rate, burst), bounds)
-                window_s = bounds.window_s + quota_module.USE_S
+                bucket = holder_quota(Quota(rate, burst), bounds)
+                window_s = bounds.window_s + quota_module.PERMIT_LIFETIME_S
                 max_granted = bucket.holders * (
                     bucket.depth + bucket.rate_per_s * window_s
                 )
-                allowed = (rate * bounds.window_s + burst) * (1 + bounds.over)
+                allowed = (rate * bounds.window_s + burst) * (
+                    1 + bounds.excess_fraction
+                )
                 # A bucket that holds less than one permit would never grant any.
-                max_allowed = max(allowed + bounds.slack, 1.0 + rate * window_s)
+                max_allowed = max(
+                    allowed + bounds.slack_requests, 1.0 + rate * window_s
+                )
                 assert max_granted <= max_allowed * (1 + ROUNDING)
                 assert bucket.depth >= 1.0
 
 
 def test_relays_agree_on_holders_and_spread_programs_over_them() -> None:
-    chosen = holders_of(MEMBERS, NAME, 2)
-    assert chosen == holders_of(MEMBERS[::-1], NAME, 2)
-    first = {asking_order(chosen, f"p{number}")[0] for number in range(50)}
+    chosen = quota_holders(MEMBERS, NAME, 2)
+    assert chosen == quota_holders(MEMBERS[::-1], NAME, 2)
+    first = {query_order(chosen, f"p{number}")[0] for number in range(50)}
     assert first == set(chosen)
 
 
 def test_only_holders_grant_permits() -> None:
     outsider = Member("other", "disk9", "other:1", "d9")
     answer = make_holder(QUOTA, outsider).ask(NAME, "p", "", True, 50.0)
-    assert answer.answer is Answer.NOT_MINE
+    assert answer.answer is PermitStatus.NOT_HOLDER
     assert make_holder(QUOTA).ask("unknown", "p", "", True, 50.0).answer is (
-        Answer.NOT_MINE
+        PermitStatus.NOT_HOLDER
+    )
+    assert (
+        make_holder(None).ask(NAME, "p", "", True, 50.0).answer is PermitStatus.GRANTED
     )
-    assert make_holder(None).ask(NAME, "p", "", True, 50.0).answer is Answer.GRANTED
 
 
 def test_a_restarted_holder_grants_no_burst() -> None:
@@ -84,7 +90,7 @@
     burst twice, and servers would get more requests than the quota allows.
     """
     holder = make_holder(QUOTA)
-    bucket = allowance(QUOTA, BOUNDS)
+    bucket = holder_quota(QUOTA, BOUNDS)
     granted_count = sum(
         is_granted(holder, 0.1, f"p{n}", is_first=False) for n in range(100)
     )
@@ -99,9 +105,9 @@
 def test_a_new_holder_waits_for_its_predecessor() -> None:
     holder = QuotaHolder(MEMBERS[0], BOUNDS, MEMBERS[1:], 0.0)
     holder.configure({NAME: Customer(NAME, None, QUOTA)}, 0.0)
-    holder.take_members(MEMBERS, 20.0)
+    holder.update_members(MEMBERS, 20.0)
     early = holder.ask(NAME, "p", "", True, 20.0 + HANDOVER_S - 0.1)
-    assert early.answer is Answer.NOT_MINE
+    assert early.answer is PermitStatus.NOT_HOLDER
     assert is_granted(holder, 21.0 + HANDOVER_S, "p", is_first=False)
 
 
@@ -115,15 +121,15 @@
     holder = make_holder(QUOTA)
     while is_granted(holder, 20.0, "p", is_first=False):
         pass
-    holder.take_members(MEMBERS[1:], 20.0)
+    holder.update_members(MEMBERS[1:], 20.0)
     assert not is_granted(holder, 20.1, "p", is_first=False)
-    holder.take_members(MEMBERS, 20.5)
+    holder.update_members(MEMBERS, 20.5)
     granted_count = sum(
         is_granted(holder, 21.0, "p", is_first=False) for _ in range(100)
     )
-    assert granted_count == int(allowance(QUOTA, BOUNDS).rate_per_s)
-    holder.take_members(MEMBERS[1:], 30.0)
-    holder.take_members(MEMBERS, 32.0)
+    assert granted_count == int(holder_quota(QUOTA, BOUNDS).rate_per_s)
+    holder.update_members(MEMBERS[1:], 30.0)
+    holder.update_members(MEMBERS, 32.0)
     assert not is_granted(holder, 33.0, "p", is_first=False), (
         "it may have been replaced"
     )
@@ -144,11 +150,11 @@
         *(slow_times[-1] + 3.0 + tick * 0.05 for tick in range(MAX_MEMBER_LISTS)),
     ]
     for number, now in enumerate(times):
-        holder.take_members((*MEMBERS, other) if number % 2 else MEMBERS, now)
+        holder.update_members((*MEMBERS, other) if number % 2 else MEMBERS, now)
         granted_count += sum(
             is_granted(holder, now, "p", is_first=False) for _ in range(100)
         )
-    bucket = allowance(QUOTA, BOUNDS)
+    bucket = holder_quota(QUOTA, BOUNDS)
     assert granted_count <= bucket.depth + bucket.rate_per_s * (times[-1] - times[0])
 
 
@@ -178,7 +184,9 @@
                 del turns[program]
     admitted = finished + len(turns)
     assert refused_early > admitted, "most excess programs never start"
-    assert finished >= 0.6 * 60.0 * allowance(Quota(30.0, 30.0), BOUNDS).rate_per_s / 10
+    assert (
+        finished >= 0.6 * 60.0 * holder_quota(Quota(30.0, 30.0), BOUNDS).rate_per_s / 10
+    )
     assert refused_midway <= 0.2 * 10 * finished
 
 
@@ -193,7 +201,7 @@
     granted_count = sum(
         is_granted(holder, 1.0, f"p{n}", is_first=True) for n in range(100)
     )
-    assert granted_count == int(allowance(QUOTA, BOUNDS).rate_per_s)
+    assert granted_count == int(holder_quota(QUOTA, BOUNDS).rate_per_s)
 
 
 def test_a_changed_quota_applies_to_the_next_request() -> None:
@@ -203,7 +211,7 @@
     granted_count = sum(
         is_granted(holder, 30.0, f"p{n}", is_first=False) for n in range(100)
     )
-    assert granted_count <= allowance(Quota(3.0, 0.0), BOUNDS).depth
+    assert granted_count <= holder_quota(Quota(3.0, 0.0), BOUNDS).depth
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -228,7 +236,7 @@
     """Buckets are full after a restart, or new holders start at once with full ones."""
 
     class FullBucketAccount(quota_module._CustomerAccount):
-        def __init__(self, bucket: Allowance, held_from: float, now: float) -> None:
+        def __init__(self, bucket: HolderQuota, held_from: float, now: float) -> None:
             super().__init__(bucket, held_from, now)
             if broken == "forgets" or held_from > 0.0:
                 self.permits.level = bucket.depth
--- a/tests/core/test_silence.py
+++ b/tests/core/test_retries.py
@@ -2,25 +2,25 @@
 
 from __future__ import annotations
 
-from wisteriastair.core.silence import (
+from wisteriastair.core.retries import (
     MAX_RETRY_BUDGET,
     MIN_TIMEOUT_S,
     RETRY_FRACTION,
     TIMEOUT_FACTOR,
-    Silence,
+    RetryPolicy,
 )
 
 
 def test_an_attempt_times_out_after_a_multiple_of_the_mean_response_time() -> None:
-    policy = Silence()
-    assert policy.limit_s("svc") is None, "no response time is known yet"
-    policy.answered("svc", 0.01)
-    assert policy.limit_s("svc") == MIN_TIMEOUT_S
+    policy = RetryPolicy()
+    assert policy.attempt_timeout_s("svc") is None, "no response time is known yet"
+    policy.record_response("svc", 0.01)
+    assert policy.attempt_timeout_s("svc") == MIN_TIMEOUT_S
     for _ in range(300):
-        policy.answered("svc", 0.2)
-    limit_s = policy.limit_s("svc")
-    assert limit_s is not None and limit_s > 0.9 * TIMEOUT_FACTOR * 0.2
-    assert policy.limit_s("other") is None
+        policy.record_response("svc", 0.2)
+    attempt_timeout_s = policy.attempt_timeout_s("svc")
+    assert attempt_timeout_s is not None and attempt_timeout_s > 0.9 * TIMEOUT_FACTOR * 0.2
+    assert policy.attempt_timeout_s("other") is None
 
 
 def test_retries_to_an_overloaded_service_are_limited() -> None:
@@ -29,12 +29,12 @@
     If each request were retried on a second server, the load would double when the
     service can handle it least. Only a tenth of the requests may be retried.
     """
-    policy = Silence()
-    policy.answered("svc", 0.01)
+    policy = RetryPolicy()
+    policy.record_response("svc", 0.01)
     retries = 0
     for _ in range(1_000):
-        policy.asked()
-        if policy.limit_s("svc") is not None:
-            policy.repeated()
+        policy.record_request()
+        if policy.attempt_timeout_s("svc") is not None:
+            policy.record_retry()
             retries += 1
     assert retries <= 1_000 * RETRY_FRACTION + MAX_RETRY_BUDGET
--- a/tests/core/test_reuse.py
+++ b/tests/core/test_reuse.py
@@ -8,19 +8,19 @@
 
 import pytest
 
-from wisteriastair.core.choice import Want, choose
+from wisteriastair.core.choice import SelectionContext, select_server
 from wisteriastair.core.fleet import Fleet, Server
 from wisteriastair.core.reuse import (
     MAX_SEGMENTS,
-    KnownParts,
-    PromptPart,
-    agreed_server,
+    CachedSegments,
+    PromptSegment,
+    rendezvous_server,
 )
 
 RELAYS: Final = 5
 SERVERS: Final = 6
 SLOTS: Final = 48
-SHARED: Final = (PromptPart("shared", 2_500),)
+SHARED: Final = (PromptSegment("shared", 2_500),)
 FIRST_TURN_TOKENS: Final = 500
 TURN_TOKENS: Final = 500
 TURNS: Final = 9
@@ -43,9 +43,9 @@
         self.relay = relay
         self.turns = 0
 
-    def prompt(self) -> tuple[PromptPart, ...]:
+    def prompt(self) -> tuple[PromptSegment, ...]:
         tokens = FIRST_TURN_TOKENS + self.turns * TURN_TOKENS
-        return (*SHARED, PromptPart(f"line-{self.number}", tokens))
+        return (*SHARED, PromptSegment(f"line-{self.number}", tokens))
 
 
 def simulate(
@@ -58,7 +58,7 @@
         for number in range(SERVERS):
             fleet.put(Server(f"s{number}", "svc", "a:1", "d", SLOTS, False, 0.0))
     names = tuple(f"s{n}" for n in range(SERVERS))
-    caches = {name: KnownParts() for name in names}
+    caches = {name: CachedSegments() for name in names}
     served = dict.fromkeys(names, 0)
     idle_conns = [dict.fromkeys(names, 0) for _ in range(RELAYS)]
     arrivals = int(20 * programs_per_s)
@@ -75,8 +75,8 @@
         if server_name:
             state = fleets[program.relay].get(server_name)
             assert state is not None
-            state.open -= 1
-            state.parts.note(program.prompt())
+            state.in_flight -= 1
+            state.cached_segments.add(program.prompt())
             idle_conns[program.relay][server_name] += 1
             program.turns += 1
             if rng.random() < MOVE_PROBABILITY:
@@ -89,20 +89,20 @@
         connected = frozenset(
             f"{name}.0" for name, count in idle_conns[program.relay].items() if count
         )
-        rendezvous_id = agreed_server(prompt, names) if use_rendezvous else ""
-        context = Want(
+        rendezvous_id = rendezvous_server(prompt, names) if use_rendezvous else ""
+        context = SelectionContext(
             "d", prompt, frozenset(), 20.0, connected, rendezvous_id=rendezvous_id
         )
-        servers = fleets[program.relay].usable("svc", now)
-        chosen = choose(servers, context, rng.randrange, now)
+        servers = fleets[program.relay].eligible_servers("svc", now)
+        chosen = select_server(servers, context, rng.randrange, now)
         assert chosen is not None
         name = chosen.server.id
         idle_conns[program.relay][name] = max(0, idle_conns[program.relay][name] - 1)
-        chosen.open += 1
+        chosen.in_flight += 1
         served[name] += 1
         total = sum(segment.tokens for segment in prompt)
         computed_tokens += caches[name].missing_fraction(prompt) * total
-        caches[name].note(prompt)
+        caches[name].add(prompt)
         end = now + service_time_s * rng.uniform(0.5, 1.5)
         heapq.heappush(events, (end, order, program, name))
     turns = sum(served.values())
@@ -133,23 +133,29 @@
 
 
 def test_a_segment_counts_only_if_all_before_it_are_cached() -> None:
-    cached = KnownParts()
-    cached.note([PromptPart("a", 300), PromptPart("b", 100)])
-    assert cached.missing_fraction((PromptPart("a", 300), PromptPart("b", 100))) == 0.0
+    cached = CachedSegments()
+    cached.add([PromptSegment("a", 300), PromptSegment("b", 100)])
+    assert (
+        cached.missing_fraction((PromptSegment("a", 300), PromptSegment("b", 100)))
+        == 0.0
+    )
     assert cached.missing_fraction(
-        (PromptPart("a", 300), PromptPart("b", 400))
+        (PromptSegment("a", 300), PromptSegment("b", 400))
     ) == pytest.approx(300 / 700)
-    assert cached.missing_fraction((PromptPart("x", 300), PromptPart("b", 100))) == 1.0
-    longer = (PromptPart("a", 600), PromptPart("b", 100))
+    assert (
+        cached.missing_fraction((PromptSegment("x", 300), PromptSegment("b", 100)))
+        == 1.0
+    )
+    longer = (PromptSegment("a", 600), PromptSegment("b", 100))
     assert cached.missing_fraction(longer) == pytest.approx(400 / 700)
     assert cached.missing_fraction(()) == 0.0
 
 
 def test_the_oldest_segments_are_evicted_first() -> None:
-    cached = KnownParts()
-    cached.note([PromptPart("old", 1), PromptPart("kept", 1)])
+    cached = CachedSegments()
+    cached.add([PromptSegment("old", 1), PromptSegment("kept", 1)])
     for number in range(MAX_SEGMENTS - 1):
-        cached.note([PromptPart(f"p{number}", 1), PromptPart("kept", 1)])
+        cached.add([PromptSegment(f"p{number}", 1), PromptSegment("kept", 1)])
     assert "kept" in cached and "old" not in cached
     assert len(cached) == MAX_SEGMENTS
 
@@ -157,9 +163,9 @@
 def test_a_removed_server_moves_only_its_own_programs() -> None:
     names = tuple(f"s{n}" for n in range(SERVERS))
     for number in range(100):
-        prompt = (*SHARED, PromptPart(f"line-{number}", 10))
-        before = agreed_server(prompt, names)
-        after = agreed_server(prompt, names[1:])
+        prompt = (*SHARED, PromptSegment(f"line-{number}", 10))
+        before = rendezvous_server(prompt, names)
+        after = rendezvous_server(prompt, names[1:])
         assert before in names and (after == before or before == "s0")
-    assert agreed_server(SHARED, names) == ""
-    assert agreed_server((*SHARED, PromptPart("line", 1)), ()) == ""
+    assert rendezvous_server(SHARED, names) == ""
+    assert rendezvous_server((*SHARED, PromptSegment("line", 1)), ()) == ""
--- a/wisteriastair/core/admission.py
+++ b/wisteriastair/core/admission.py
@@ -11,18 +11,18 @@
 from typing import Final
 
 from ..errors import Code, Failure
-from .carrier import Carrier, new_limits
 from .config import Config, Service, Tool
 from .dispatch import Dispatcher
 from .outbox import Outbox
+from .primary import Primary, new_limits
 from .program import EndStep, Program
 from .records import Action, Limits, ProgramStarted
 from .replica import Role
-from .running import Running, RunningPrograms, Subscriber
+from .running import RunningProgram, RunningPrograms, Subscriber
 from .slots import Slots
 from .wire import (
     ListPrograms,
-    NotCarrier,
+    NotPrimary,
     ProgramAttach,
     ProgramCancel,
     ProgramList,
@@ -56,7 +56,7 @@
         self,
         me: str,
         *,
-        carrier: Carrier,
+        primary: Primary,
         programs: RunningPrograms,
         slots: Slots,
         dispatcher: Dispatcher,
@@ -67,7 +67,7 @@
         self.refused = 0
         self.stopping = False
         self._me = me
-        self._carrier = carrier
+        self._primary = primary
         self._programs = programs
         self._slots = slots
         self._dispatcher = dispatcher
@@ -88,10 +88,10 @@
             if failure is not None:
                 self._fail(sender, start.request, start.program, failure)
                 return
-            run = Running(Program(self._first_record(start, now)), start.slot)
+            run = RunningProgram(Program(self._first_record(start, now)), start.slot)
             run.trace = start.trace
             self._subscribe(sender, run, start.request, 0, 0, start.stream, now)
-            self._carrier.start(run)
+            self._primary.start(run)
             return
         failure = _check_key_reuse(run, start)
         if failure is not None:
@@ -103,12 +103,12 @@
     def _is_serving(self, sender: str, request: str, slot: int) -> bool:
         if self._slots.is_open(slot):
             return True
-        if self._slots.role(slot) is not Role.CARRIER:
-            self._out.send(sender, NotCarrier(request, slot))
+        if self._slots.role(slot) is not Role.PRIMARY:
+            self._out.send(sender, NotPrimary(request, slot))
         return False
 
     def _check_admission(self, start: ProgramStart, now: float) -> Failure | None:
-        if start.slot in self._carrier.lost_slots:
+        if start.slot in self._primary.slots_with_lost_log:
             detail = "the state of this key was lost; a new key runs the request"
             return Failure(Code.OUTCOME_UNKNOWN, detail, "unknown")
         config = self._programs.config
@@ -119,7 +119,7 @@
             return failure
         if not self._slots.may_append(start.slot):
             return Failure(
-                Code.NO_CARRIER, "the slot is being moved", "no", SLOT_MOVE_RETRY_S
+                Code.NO_PRIMARY, "the slot is being moved", "no", SLOT_MOVE_RETRY_S
             )
         return self._check_overload(start, config, now)
 
@@ -185,7 +185,7 @@
     def _subscribe(
         self,
         sender: str,
-        run: Running,
+        run: RunningProgram,
         request: str,
         number: int,
         offset: int,
@@ -200,9 +200,9 @@
             subscriber.number, subscriber.offset = number, offset
         run.subscribe(subscriber, now)
 
-    def _send_state(self, sender: str, run: Running, request: str) -> None:
+    def _send_state(self, sender: str, run: RunningProgram, request: str) -> None:
         if run.program.ended is None:
-            self._out.send(sender, run.pending(request))
+            self._out.send(sender, run.pending_message(request))
         run.deliver(self._out)
 
     def on_attach(self, sender: str, attach: ProgramAttach, now: float) -> None:
@@ -223,7 +223,7 @@
 
     def _find(
         self, sender: str, message: ProgramAttach | ProgramCancel
-    ) -> Running | None:
+    ) -> RunningProgram | None:
         """Return the customer's program, or send a failure and return None."""
         if not self._is_serving(sender, message.request, message.slot):
             return None
@@ -235,7 +235,7 @@
         return run
 
     def _not_found(self, slot: int) -> Failure:
-        if slot in self._carrier.lost_slots:
+        if slot in self._primary.slots_with_lost_log:
             detail = "the state of the slot was lost"
             return Failure(Code.OUTCOME_UNKNOWN, detail, "unknown")
         # The program may also have ended long ago, so "not run" cannot be claimed.
@@ -249,7 +249,7 @@
         self._subscribe(sender, run, cancel.request, 0, 0, False, now)
         if self._slots.may_append(cancel.slot):
             step = EndStep(Code.CANCELLED, "", "cancelled by its caller")
-            self._carrier.end(run, step)
+            self._primary.end(run, step)
         self._send_state(sender, run, cancel.request)
 
     def on_list(self, sender: str, query: ListPrograms, now: float) -> None:
@@ -262,7 +262,7 @@
         limited = tuple(rows[: query.limit])
         self._out.send(sender, ProgramList(query.request, limited))
 
-    def _row(self, run: Running, now: float) -> ProgramRow:
+    def _row(self, run: RunningProgram, now: float) -> ProgramRow:
         program = run.program
         start = program.start
         ended = program.ended
@@ -285,10 +285,10 @@
     def tick(self, now: float) -> None:
         """Update the rate at which programs finish."""
         if now - self._window_start >= RATE_WINDOW_S:
-            finished = self._carrier.finished - self._window_finished
-            self._finish_rate_per_s = finished / RATE_WINDOW_S
+            finished_count = self._primary.finished_count - self._window_finished
+            self._finish_rate_per_s = finished_count / RATE_WINDOW_S
             self._window_start = now
-            self._window_finished = self._carrier.finished
+            self._window_finished = self._primary.finished_count
 
     def _fail(self, to: str, request: str, program: str, failure: Failure) -> None:
         outcome = ProgramOutcome(
@@ -316,7 +316,7 @@
     return Failure(Code.UNKNOWN_SERVICE, f"no plain service '{start.service}'")
 
 
-def _check_key_reuse(run: Running, start: ProgramStart) -> Failure | None:
+def _check_key_reuse(run: RunningProgram, start: ProgramStart) -> Failure | None:
     definition = run.program.start
     is_same_request = (definition.service, definition.prompt) == (
         start.service,
@@ -328,11 +328,11 @@
     return Failure(Code.KEY_REUSED, detail)
 
 
-def _waiting_for(run: Running) -> str:
+def _waiting_for(run: RunningProgram) -> str:
     program = run.program
     if program.ended is not None:
         return ""
     if program.call is not None:
         return f"{program.call.kind} {program.call.name} at {program.call.server}"
-    children = program.living_children()
+    children = program.active_children()
     return f"{len(children)} sub-agents" if children else "next step"
--- a/wisteriastair/core/affinity.py
+++ b/wisteriastair/core/affinity.py
@@ -20,7 +20,7 @@
 from typing import Final, NamedTuple
 
 from .fleet import ServerState
-from .hashing import rank
+from .hashing import rendezvous_order
 
 # A prefix that was not requested for this time in seconds is not counted. It is several
 # times the pause of a program between two turns.
@@ -42,7 +42,7 @@
     tokens: int
 
 
-class Beginnings:
+class PrefixAffinity:
     """The shared prefixes in use at one service, and their affinity servers.
 
     Parameters
@@ -60,7 +60,7 @@
         self._ids: list[str] = []
         self._cached_servers: dict[tuple[str, int], frozenset[str]] = {}
 
-    def note(self, prefix: str, tokens: int, now: float) -> None:
+    def record_use(self, prefix: str, tokens: int, now: float) -> None:
         """Record a request for a prefix."""
         previous = self._uses.pop(prefix, None)
         self._active_tokens += tokens - (previous.tokens if previous else 0)
@@ -75,7 +75,9 @@
             del self._uses[prefix]
             self._active_tokens -= use.tokens
 
-    def homes(self, prefix: str, servers: list[ServerState]) -> frozenset[str]:
+    def affinity_servers(
+        self, prefix: str, servers: list[ServerState]
+    ) -> frozenset[str]:
         """Return the ids of a prefix's affinity servers; empty for no restriction."""
         budget_tokens = MEMORY_FRACTION * self._memory_tokens
         if budget_tokens <= 0 or self._active_tokens <= budget_tokens:
@@ -83,14 +85,14 @@
         step = max(1, int(FRACTION_STEPS * budget_tokens / self._active_tokens))
         if servers is not self._servers:
             self._update_servers(servers)
-        homes = self._cached_servers.get((prefix, step))
-        if homes is None:
+        affinity_servers = self._cached_servers.get((prefix, step))
+        if affinity_servers is None:
             if len(self._cached_servers) >= MAX_CACHED_RESULTS:
                 self._cached_servers.clear()
-            homes = self._cached_servers[prefix, step] = _choose_servers(
+            affinity_servers = self._cached_servers[prefix, step] = _choose_servers(
                 prefix, servers, step
             )
-        return homes
+        return affinity_servers
 
     def _update_servers(self, servers: list[ServerState]) -> None:
         """Clear the cache if the servers differ; an identical list has not changed."""
@@ -110,5 +112,5 @@
     chosen: list[str] = []
     for servers in by_domain.values():
         count = max(1, round(len(servers) * step / FRACTION_STEPS))
-        chosen += rank(f"beginning {prefix}", servers)[:count]
+        chosen += rendezvous_order(f"beginning {prefix}", servers)[:count]
     return frozenset(chosen)
--- a/wisteriastair/core/balance.py
+++ b/wisteriastair/core/balance.py
@@ -12,10 +12,10 @@
 
 from typing import Final
 
-from .hashing import address_of, rank
+from .hashing import address_of, rendezvous_order
 from .peers import Peers
 from .placement import Placement
-from .replica import NOBODY, Row
+from .replica import NO_MEMBER, SlotRow
 from .slots import Slots
 
 BALANCE_INTERVAL_S: Final = 1.0
@@ -29,7 +29,7 @@
 ALL_DOWN_S: Final = 6.0
 
 
-class Balance:
+class SlotBalancer:
     """Places slots and balances them between processes.
 
     Parameters
@@ -76,13 +76,13 @@
         this it would keep doing the work of two, while the replacement is only a
         standby.
         """
-        carried = self._slots.carried()
-        for number in carried:
+        open_slots = self._slots.open_slots()
+        for number in open_slots:
             replica = self._slots.replica(number)
-            peer_count = self._peers.leads_of(replica.peer)
-            if replica.learner != NOBODY or peer_count is None:
+            peer_count = self._peers.primary_count_of(replica.peer)
+            if replica.learner != NO_MEMBER or peer_count is None:
                 continue
-            if peer_count + MIN_PRIMARY_GAP <= len(carried):
+            if peer_count + MIN_PRIMARY_GAP <= len(open_slots):
                 self._slots.hand_over(number)
                 return
 
@@ -91,15 +91,15 @@
 
         Processes that joined after the slots were placed would otherwise remain empty.
         """
-        member = self._peers.sample(now)
-        peer_count = self._peers.held_of(member)
-        if peer_count is None or not self._peers.is_elsewhere(member):
+        member = self._peers.sample_peer(now)
+        peer_count = self._peers.replica_count_of(member)
+        if peer_count is None or not self._peers.is_in_other_domain(member):
             return
-        for number in self._slots.carried():
+        for number in self._slots.open_slots():
             replica = self._slots.replica(number)
-            if replica.learner != NOBODY or replica.peer in (NOBODY, member):
+            if replica.learner != NO_MEMBER or replica.peer in (NO_MEMBER, member):
                 continue
-            standby = self._peers.held_of(replica.peer)
+            standby = self._peers.replica_count_of(replica.peer)
             if standby is not None and peer_count + MIN_REPLICA_GAP <= standby:
                 self._slots.copy_to(number, member, now)
                 peer_count += MIN_REPLICA_GAP
@@ -113,7 +113,10 @@
         sides = self._peers.sides()
         addresses = [i.address for i in sides]
         own_address = address_of(self._me)
-        if own_address not in addresses or rank("place", addresses)[0] != own_address:
+        if (
+            own_address not in addresses
+            or rendezvous_order("place", addresses)[0] != own_address
+        ):
             return
         if addresses != self._listed_addresses:
             # The processes are still starting. Slots placed now would have to move
@@ -147,20 +150,20 @@
         row = self._placement.rows.get(number)
         if row is None:
             return True
-        members = (row.carrier, row.standby, row.former)
-        if not all(self._peers.is_gone(m) for m in members if m != NOBODY):
+        members = (row.primary, row.standby, row.former)
+        if not all(self._peers.is_confirmed_down(m) for m in members if m != NO_MEMBER):
             self._all_down_since.pop(number, None)
             return False
         return now - self._all_down_since.setdefault(number, now) > ALL_DOWN_S
 
-    def _place(self, number: int, row: Row | None, domains: dict[str, str]) -> None:
-        ranked = rank(f"slot {number}", domains)
-        carrier = ranked[0]
-        others = [m for m in ranked[1:] if domains[m] != domains[carrier]]
-        standby = (others or ranked[1:] or [NOBODY])[0]
-        if standby == NOBODY:
+    def _place(self, number: int, row: SlotRow | None, domains: dict[str, str]) -> None:
+        ranked = rendezvous_order(f"slot {number}", domains)
+        primary = ranked[0]
+        others = [m for m in ranked[1:] if domains[m] != domains[primary]]
+        standby = (others or ranked[1:] or [NO_MEMBER])[0]
+        if standby == NO_MEMBER:
             return
         epoch = row.epoch + 1 if row is not None else 1
         lost = row is not None
-        placed = Row(number, carrier, standby, epoch, fresh=True, lost=lost)
+        placed = SlotRow(number, primary, standby, epoch, fresh=True, lost=lost)
         self._placement.propose(placed)
--- a/wisteriastair/core/choice.py
+++ b/wisteriastair/core/choice.py
@@ -16,7 +16,7 @@
 from typing import Final, NamedTuple
 
 from .fleet import ServerState
-from .reuse import FIRST_PRIVATE, PromptPart
+from .reuse import FIRST_PRIVATE, PromptSegment
 
 # Cost of a server in another failure domain, as a fraction of its concurrency. The cost
 # per kilobyte of the request stands for the price of traffic between domains.
@@ -47,14 +47,14 @@
 MAX_SAMPLES_PER_GROUP: Final = 12
 
 
-class Want(NamedTuple):
+class SelectionContext(NamedTuple):
     """Properties of a request that determine the selection.
 
     Attributes
     ----------
     domain : str
         Failure domain of this process.
-    segments : tuple of PromptPart
+    segments : tuple of PromptSegment
         Segments of the prompt, the most widely shared first.
     tried : frozenset of str
         Servers that have rejected this request.
@@ -62,7 +62,7 @@
         Size of the request in kilobytes.
     connected : frozenset of str
         Incarnations of servers to which an idle connection is open.
-    homes : frozenset of str
+    affinity_servers : frozenset of str
         Affinity servers of the shared prefix; empty for no restriction.
     rendezvous_id : str
         Server that all processes choose for the program by rendezvous hash; empty for
@@ -70,16 +70,19 @@
     """
 
     domain: str
-    segments: tuple[PromptPart, ...]
+    segments: tuple[PromptSegment, ...]
     tried: frozenset[str]
     size_kb: float
     connected: frozenset[str]
-    homes: frozenset[str] = frozenset()
+    affinity_servers: frozenset[str] = frozenset()
     rendezvous_id: str = ""
 
 
-def choose(
-    servers: list[ServerState], want: Want, randbelow: Callable[[int], int], now: float
+def select_server(
+    servers: list[ServerState],
+    context: SelectionContext,
+    randbelow: Callable[[int], int],
+    now: float,
 ) -> ServerState | None:
     """Select a server, or return None if every server was tried.
 
@@ -89,16 +92,20 @@
         Returns a random integer below its argument.
     """
     candidates = servers
-    if want.tried:
-        candidates = [state for state in servers if state.server.id not in want.tried]
+    if context.tried:
+        candidates = [
+            state for state in servers if state.server.id not in context.tried
+        ]
     if not candidates:
         return None
     if len(candidates) > MAX_CANDIDATES:
-        candidates = _sample_candidates(candidates, want, randbelow)
+        candidates = _sample_candidates(candidates, context, randbelow)
     times = [state.mean_response_s for state in candidates if state.mean_response_s > 0]
     mean_s = sum(times) / len(times) if times else 0.0
-    rendezvous_id = "" if _has_sent_program(want, candidates) else want.rendezvous_id
-    costs = _costs(candidates, want, rendezvous_id, mean_s, now)
+    rendezvous_id = (
+        "" if _has_sent_program(context, candidates) else context.rendezvous_id
+    )
+    costs = _costs(candidates, context, rendezvous_id, mean_s, now)
     max_tied_cost = min(costs) + TIE_MARGIN
     tied = [
         state
@@ -109,7 +116,9 @@
 
 
 def _sample_candidates(
-    servers: list[ServerState], want: Want, randbelow: Callable[[int], int]
+    servers: list[ServerState],
+    context: SelectionContext,
+    randbelow: Callable[[int], int],
 ) -> list[ServerState]:
     """Keep the preferred servers and a random sample of the others.
 
@@ -119,52 +128,62 @@
     the same servers.
     """
     private_segments = (
-        want.segments[FIRST_PRIVATE].id if len(want.segments) > FIRST_PRIVATE else ""
+        context.segments[FIRST_PRIVATE].id
+        if len(context.segments) > FIRST_PRIVATE
+        else ""
     )
     chosen = {
-        state.start: state
+        state.incarnation: state
         for state in servers
-        if state.server.id == want.rendezvous_id
-        or (private_segments and private_segments in state.parts)
+        if state.server.id == context.rendezvous_id
+        or (private_segments and private_segments in state.cached_segments)
     }
-    idle = [state for state in servers if state.start in want.connected]
-    homes = [state for state in servers if state.server.id in want.homes]
-    for group in (idle, homes, servers):
+    idle = [state for state in servers if state.incarnation in context.connected]
+    affinity_servers = [
+        state for state in servers if state.server.id in context.affinity_servers
+    ]
+    for group in (idle, affinity_servers, servers):
         for _ in range(min(MAX_SAMPLES_PER_GROUP, len(group))):
             state = group[randbelow(len(group))]
-            chosen[state.start] = state
+            chosen[state.incarnation] = state
     return list(chosen.values())
 
 
-def _has_sent_program(want: Want, servers: list[ServerState]) -> bool:
+def _has_sent_program(context: SelectionContext, servers: list[ServerState]) -> bool:
     """Return whether this process has sent the program to one of the servers."""
-    private_segments = want.segments[FIRST_PRIVATE:]
+    private_segments = context.segments[FIRST_PRIVATE:]
     return bool(private_segments) and any(
-        private_segments[0].id in state.parts for state in servers
+        private_segments[0].id in state.cached_segments for state in servers
     )
 
 
 def _costs(
-    states: list[ServerState], want: Want, rendezvous_id: str, mean_s: float, now: float
+    states: list[ServerState],
+    context: SelectionContext,
+    rendezvous_id: str,
+    mean_s: float,
+    now: float,
 ) -> list[float]:
     """Compute the costs of servers as fractions of their concurrency."""
-    cross_domain_cost = CROSS_DOMAIN_COST + CROSS_DOMAIN_COST_PER_KB * want.size_kb
-    total = sum(segment.tokens for segment in want.segments)
+    cross_domain_cost = CROSS_DOMAIN_COST + CROSS_DOMAIN_COST_PER_KB * context.size_kb
+    total = sum(segment.tokens for segment in context.segments)
     costs = []
     for state in states:
         server = state.server
         cost = (state.load(now) + 1) / server.slots
-        if server.domain != want.domain:
+        if server.domain != context.domain:
             cost += cross_domain_cost
-        if state.start not in want.connected:
+        if state.incarnation not in context.connected:
             cost += NEW_CONN_COST
-        if want.homes and server.id not in want.homes:
+        if context.affinity_servers and server.id not in context.affinity_servers:
             cost += NON_AFFINITY_COST
         if total > 0 and server.id != rendezvous_id:
-            cost += PREFILL_COST * state.parts.missing_fraction(want.segments, total)
+            cost += PREFILL_COST * state.cached_segments.missing_fraction(
+                context.segments, total
+            )
         if state.mean_response_s > mean_s > 0:
             cost += SLOWNESS_COST * (state.mean_response_s / mean_s - 1)
-        if state.full_until > now:
+        if state.overloaded_until > now:
             cost += 1.0
         costs.append(cost)
     return costs
--- a/wisteriastair/core/customers.py
+++ b/wisteriastair/core/customers.py
@@ -90,17 +90,17 @@
             del self._by_digest[digest]
         self.problems = tuple(all_problems)
 
-    def holder(self, digest: str) -> Customer | None:
+    def find_by_digest(self, digest: str) -> Customer | None:
         """Return the customer with this key digest, or None."""
         return self._by_digest.get(digest)
 
 
-def digest_of(key: bytes) -> str:
+def digest_key(key: bytes) -> str:
     """Return the digest of a key. Keys are random, so no salt is needed."""
     return sha256(key).hexdigest()
 
 
-def scoped(customer: str, name: str) -> str:
+def scoped_name(customer: str, name: str) -> str:
     """Return the name of a program or turn, qualified by its customer.
 
     Callers choose these names. Two customers with the same name must not share an
--- a/wisteriastair/core/fleet.py
+++ b/wisteriastair/core/fleet.py
@@ -19,13 +19,13 @@
 
 from typing import Final, NamedTuple
 
-from .reuse import KnownParts
+from .reuse import CachedSegments
 
 # Consecutive failures after which a server is ejected, and the first ejection time in
 # seconds. A single failure says little. At the usual failure rate of one in thirty,
 # three in a row are not a coincidence.
-FAILURES_TO_REST: Final = 3
-REST_S: Final = 1.0
+EJECTION_FAILURES: Final = 3
+EJECTION_S: Final = 1.0
 # In a service of at least this size, one failure ejects a server. Each process sends a
 # server few requests, so three consecutive failures would take seconds, during which a
 # server that fails at once looks idle. One needlessly ejected server of a dozen is not
@@ -34,7 +34,7 @@
 MAX_EJECTION_S: Final = 8.0
 # Time in seconds for entries to come back after an outage of the store. They need about
 # two seconds.
-LAPSE_S: Final = 2.6
+REREGISTRATION_S: Final = 2.6
 # Fraction of the drain time within which a leaving server may be used if its service
 # has no other. The other half, one of two seconds, covers the delay until the removal
 # is known (up to 0.2 s) and the opening of a connection (up to 0.5 s).
@@ -61,7 +61,7 @@
         Number of requests that it runs concurrently.
     draining : bool
         Whether it accepts no new requests.
-    cold_s : float
+    warmup_s : float
         Seconds for which it is still slow after its start.
     """
 
@@ -71,11 +71,11 @@
     domain: str
     slots: int
     draining: bool
-    cold_s: float
+    warmup_s: float
     born: int = 0
 
     @property
-    def start(self) -> str:
+    def incarnation(self) -> str:
         """Name of this incarnation of the server, the key of its connections."""
         return f"{self.id}.{self.born}"
 
@@ -93,25 +93,25 @@
 
     def __init__(self, server: Server) -> None:
         self.server = server
-        self.start = server.start
-        self.open = 0
+        self.incarnation = server.incarnation
+        self.in_flight = 0
         self.removed_at: float | None = None
-        self.lapsed = False
+        self.is_lease_expired = False
         self.failures = 0
         self.ejected_until = 0.0
-        self.ejection_s = REST_S
+        self.ejection_s = EJECTION_S
         self.mean_response_s = 0.0
-        self.full_until = 0.0
+        self.overloaded_until = 0.0
         self._load = Load(0, 0, server.slots)
         self._load_at = float("-inf")
         self._in_flight_at_report = 0
-        self.parts = KnownParts()
+        self.cached_segments = CachedSegments()
 
-    def take_load(self, load: Load, now: float) -> None:
+    def record_load(self, load: Load, now: float) -> None:
         """Store a load report."""
         self._load = load
         self._load_at = now
-        self._in_flight_at_report = self.open
+        self._in_flight_at_report = self.in_flight
 
     def load(self, now: float) -> float:
         """Estimate the number of requests at the server from all processes.
@@ -122,7 +122,7 @@
         too. Own requests therefore have a high weight and the requests of others a low
         one.
         """
-        own_load = OWN_REQUEST_WEIGHT * self.open
+        own_load = OWN_REQUEST_WEIGHT * self.in_flight
         if now - self._load_at > MAX_LOAD_AGE_S:
             return own_load
         reported = self._load.running + self._load.waiting
@@ -134,19 +134,19 @@
         """Return whether the entry was removed at most `seconds` ago."""
         return self.removed_at is not None and now - self.removed_at <= seconds
 
-    def takes_work(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Return whether the server may get further requests of a running program."""
         return not self.server.draining and self.removed_at is None
 
-    def succeeded(self, seconds: float) -> None:
+    def record_success(self, seconds: float) -> None:
         """Record a successful response and its duration in seconds."""
         self.failures = 0
-        self.ejection_s = REST_S
+        self.ejection_s = EJECTION_S
         if self.mean_response_s == 0.0:
             self.mean_response_s = seconds
         self.mean_response_s += RESPONSE_TIME_WEIGHT * (seconds - self.mean_response_s)
 
-    def failed(self, now: float, max_failures: int = FAILURES_TO_REST) -> bool:
+    def record_failure(self, now: float, max_failures: int = EJECTION_FAILURES) -> bool:
         """Record a failure; return whether it ejects the server.
 
         Parameters
@@ -181,7 +181,7 @@
 
     def __init__(self, drain_s: float = 2.0) -> None:
         # Set by the store client while the store is unreachable or has just come back.
-        self.store_unsure = False
+        self.store_unstable = False
         self._last_resort_s = LAST_RESORT_FRACTION * drain_s
         self._servers: dict[str, ServerState] = {}
         self._by_service: dict[str, list[ServerState]] = {}
@@ -218,12 +218,14 @@
         self._partitions.pop(server.service, None)
         return replaced
 
-    def remove(self, server_id: str, now: float, *, lapsed: bool = False) -> None:
+    def remove(
+        self, server_id: str, now: float, *, is_lease_expired: bool = False
+    ) -> None:
         """Remove an entry.
 
         Parameters
         ----------
-        lapsed : bool
+        is_lease_expired : bool
             Whether its lease may have expired only because of an outage of the store:
             it was missing from the first listing after the outage. A server whose entry
             is removed later has left, and must get no requests after its drain time.
@@ -231,36 +233,36 @@
         state = self._servers.get(server_id)
         if state is not None and state.removed_at is None:
             state.removed_at = now
-            state.lapsed = lapsed
+            state.is_lease_expired = is_lease_expired
             self._partitions.pop(state.server.service, None)
 
-    def keep_only(self, present: set[str], now: float) -> None:
+    def retain_only(self, present: set[str], now: float) -> None:
         """Remove all servers that a full listing does not contain."""
         for server_id in self._servers:
             if server_id not in present:
-                self.remove(server_id, now, lapsed=self.store_unsure)
+                self.remove(server_id, now, is_lease_expired=self.store_unstable)
 
-    def failed(self, state: ServerState, now: float) -> None:
+    def record_failure(self, state: ServerState, now: float) -> None:
         """Record a failure of a server, which may eject it."""
         service_size = len(self._by_service.get(state.server.service, []))
-        state.failed(
-            now, 1 if service_size >= MIN_SERVERS_FAST_EJECTION else FAILURES_TO_REST
+        state.record_failure(
+            now, 1 if service_size >= MIN_SERVERS_FAST_EJECTION else EJECTION_FAILURES
         )
 
-    def expire(self, now: float) -> list[Server]:
+    def remove_expired(self, now: float) -> list[Server]:
         """Drop servers that were removed long ago and have no requests in flight."""
         expired = [
             state
             for state in self._servers.values()
             if state.removed_at is not None
-            and now - state.removed_at > LAPSE_S
-            and state.open == 0
+            and now - state.removed_at > REREGISTRATION_S
+            and state.in_flight == 0
         ]
         for state in expired:
             self._discard(state)
         return [state.server for state in expired]
 
-    def usable(self, service: str, now: float) -> list[ServerState]:
+    def eligible_servers(self, service: str, now: float) -> list[ServerState]:
         """Return the servers that may get new requests.
 
         Ejected servers are excluded unless that leaves none, as a wrong suspicion of
@@ -303,7 +305,7 @@
         # A single removed entry means a leaving server. If most entries of a service
         # are removed during an outage, their servers have probably not left.
         if not available or (
-            self.store_unsure and len(recently_removed) > len(available)
+            self.store_unstable and len(recently_removed) > len(available)
         ):
             available = available + recently_removed
         return available
@@ -315,8 +317,8 @@
         leaving server that stayed in use for 1.4 s after its removal was known got a
         request after the two seconds for which it still served.
         """
-        has_expired = self.store_unsure and state.lapsed
-        return has_expired and state.removed_within(LAPSE_S, now)
+        has_expired = self.store_unstable and state.is_lease_expired
+        return has_expired and state.removed_within(REREGISTRATION_S, now)
 
     def _discard(self, state: ServerState) -> None:
         del self._servers[state.server.id]
--- a/wisteriastair/core/hashing.py
+++ b/wisteriastair/core/hashing.py
@@ -13,15 +13,15 @@
 HASH_BYTES = 8
 
 
-def hash_word(*parts: str) -> int:
+def hash64(*parts: str) -> int:
     """Return an unsigned 64-bit hash of strings."""
     state = blake2b("\x00".join(parts).encode(), digest_size=HASH_BYTES)
     return int.from_bytes(state.digest(), "big")
 
 
-def rank(item: str, candidates: Iterable[str]) -> list[str]:
+def rendezvous_order(item: str, candidates: Iterable[str]) -> list[str]:
     """Order candidates by rendezvous hash of the item, the chosen one first."""
-    return sorted(candidates, key=lambda name: hash_word(item, name), reverse=True)
+    return sorted(candidates, key=lambda name: hash64(item, name), reverse=True)
 
 
 def program_id(customer: str, key: str) -> str:
@@ -37,7 +37,7 @@
 def slot_of(program: str, slots: int) -> int:
     """Return the slot of a program; sub-agents share the slot of their parent."""
     root = program.split(".", 1)[0]
-    return hash_word("slot", root) % slots
+    return hash64("slot", root) % slots
 
 
 def address_of(member: str) -> str:
--- a/wisteriastair/core/ordering.py
+++ b/wisteriastair/core/ordering.py
@@ -12,7 +12,7 @@
 from typing import Final, NamedTuple
 
 
-class Waiting(NamedTuple):
+class QueuedCall(NamedTuple):
     """A call in the queue of a gate."""
 
     priority: int
@@ -20,26 +20,26 @@
     program_since: float
 
 
-class Order(ABC):
+class QueueOrder(ABC):
     """Sort order of a queue."""
 
     @abstractmethod
-    def key(self, call: Waiting, now: float) -> tuple[float, ...]:
+    def key(self, call: QueuedCall, now: float) -> tuple[float, ...]:
         """Return the sort key of a call; the smallest key goes first."""
 
 
-class Fifo(Order):
+class Fifo(QueueOrder):
     """Baseline: first come, first served."""
 
-    def key(self, call: Waiting, now: float) -> tuple[float, ...]:
+    def key(self, call: QueuedCall, now: float) -> tuple[float, ...]:
         """Return the arrival time."""
         return (call.queued_at,)
 
 
-class OldestProgram(Order):
+class OldestProgram(QueueOrder):
     """Oldest program first, within its priority."""
 
-    def key(self, call: Waiting, now: float) -> tuple[float, ...]:
+    def key(self, call: QueuedCall, now: float) -> tuple[float, ...]:
         """Return the negated priority and the start of the program."""
         return (-call.priority, call.program_since)
 
@@ -47,6 +47,6 @@
 ORDERS: Final = ("program", "fifo")
 
 
-def make_order(name: str) -> Order:
+def make_order(name: str) -> QueueOrder:
     """Create an order by its name in the settings."""
     return Fifo() if name == "fifo" else OldestProgram()
--- a/wisteriastair/core/quota.py
+++ b/wisteriastair/core/quota.py
@@ -25,20 +25,20 @@
 from typing import Final, NamedTuple
 
 from .customers import Customer, Quota
-from .hashing import hash_word
-from .membership import Member, over_domains
+from .hashing import hash64
+from .membership import Member, spread_over_domains
 
 # Maximum number of holders per customer. With one of three lost, two thirds of the
 # quota remain.
 MAX_HOLDERS: Final = 3
 # Longest time in seconds from a permit to the arrival of its request at a server.
-USE_S: Final = 0.3
+PERMIT_LIFETIME_S: Final = 0.3
 # Fraction of the tolerated excess that permits may use. The rest is for requests that
 # run on a second server, and for clock differences.
 TOLERANCE_FRACTION: Final = 0.8
 # Maximum time in seconds before its validity at which a permit is granted; the relay
 # waits until it is valid. A rejected caller would take longer to come back.
-AHEAD_S: Final = 0.5
+MAX_ADVANCE_S: Final = 0.5
 # Wait of a new holder in seconds. It exceeds the time in which its predecessor receives
 # the new member list, or notices that it has lost contact to most members.
 HANDOVER_S: Final = 2.5
@@ -68,18 +68,18 @@
     ----------
     window_s : float
         Length of the measured time windows in seconds.
-    over : float
+    excess_fraction : float
         Fraction by which a window may exceed the quota.
-    slack : float
+    slack_requests : float
         Number of requests by which it may exceed the quota in addition.
     """
 
     window_s: float = 1.0
-    over: float = 0.0
-    slack: float = 0.0
+    excess_fraction: float = 0.0
+    slack_requests: float = 0.0
 
 
-class Allowance(NamedTuple):
+class HolderQuota(NamedTuple):
     """Part of a customer's quota that each of its holders may grant.
 
     Attributes
@@ -95,15 +95,15 @@
     holders: int
 
 
-class Answer(IntEnum):
+class PermitStatus(IntEnum):
     """Outcome of a permit request."""
 
     GRANTED = 0
     # The quota is used up, or reserved for running programs.
-    SPENT = 1
+    EXHAUSTED = 1
     # This process is not a holder of the customer's quota, or cannot be sure that it
     # is.
-    NOT_MINE = 2
+    NOT_HOLDER = 2
 
 
 class Permit(NamedTuple):
@@ -113,49 +113,50 @@
     ----------
     wait_s : float
         Seconds until the permit is valid, or until a retry is useful.
-    not_started : bool
+    is_program_refused : bool
         Whether a new program is rejected, however soon its first request could run.
     """
 
-    answer: Answer
+    answer: PermitStatus
     wait_s: float = 0.0
-    not_started: bool = False
+    is_program_refused: bool = False
 
 
 @lru_cache(maxsize=4096)
-def allowance(quota: Quota, bounds: QuotaBounds) -> Allowance:
+def holder_quota(quota: Quota, bounds: QuotaBounds) -> HolderQuota:
     """Derive the token bucket of each holder from a customer's quota.
 
-    Requests that arrive in a window got their permits in a span longer by `USE_S`. A
+    Requests that arrive in a window got their permits in a span longer by
+    `PERMIT_LIFETIME_S`. A
     bucket grants its depth plus the inflow, so the total depth is the window's limit
     less the inflow of that span, divided among the holders.
     """
     rate, burst = quota
     allowed = rate * bounds.window_s + burst
-    tolerated = allowed * bounds.over + bounds.slack
-    inflow = rate * (bounds.window_s + USE_S)
+    tolerated = allowed * bounds.excess_fraction + bounds.slack_requests
+    inflow = rate * (bounds.window_s + PERMIT_LIFETIME_S)
     depth = max(1.0, allowed + TOLERANCE_FRACTION * tolerated - inflow)
     holders = max(1, min(MAX_HOLDERS, int(depth)))
-    return Allowance(rate / holders, depth / holders, holders)
+    return HolderQuota(rate / holders, depth / holders, holders)
 
 
 @lru_cache(maxsize=16384)
-def holders_of(
+def quota_holders(
     members: tuple[Member, ...], customer: str, count: int
 ) -> tuple[Member, ...]:
     """Choose a customer's holders, spread over failure domains if possible."""
     order = sorted(
-        members, key=lambda m: hash_word("quota", customer, m.name), reverse=True
+        members, key=lambda m: hash64("quota", customer, m.name), reverse=True
     )
-    return over_domains(order, count)
+    return spread_over_domains(order, count)
 
 
-def asking_order(holders: tuple[Member, ...], program: str) -> list[Member]:
+def query_order(holders: tuple[Member, ...], program: str) -> list[Member]:
     """Return the order in which holders are asked for a program's permits.
 
     All relays start with the same holder, which therefore knows the program.
     """
-    return sorted(holders, key=lambda m: hash_word("permit", program, m.name))
+    return sorted(holders, key=lambda m: hash64("permit", program, m.name))
 
 
 class _Bucket:
@@ -202,7 +203,7 @@
 class _CustomerAccount:
     """State of a customer at one of its holders."""
 
-    def __init__(self, bucket: Allowance, held_from: float, now: float) -> None:
+    def __init__(self, bucket: HolderQuota, held_from: float, now: float) -> None:
         held_s = max(0.0, now - held_from)
         self.held_from = held_from
         self.list_number = -1
@@ -211,7 +212,7 @@
         # Ordered by last request, most recent last.
         self.programs: OrderedDict[str, _ProgramUsage] = OrderedDict()
 
-    def resume(self, bucket: Allowance, held_from: float, now: float) -> None:
+    def resume(self, bucket: HolderQuota, held_from: float, now: float) -> None:
         """Start a new term after a gap in which others may have granted permits.
 
         Permits granted before the gap still count. Otherwise a member list that changes
@@ -293,7 +294,7 @@
                 continue
             if before.quota == customer.quota:
                 continue
-            buckets = [allowance(c.quota, self._bounds) for c in (before, customer)]
+            buckets = [holder_quota(c.quota, self._bounds) for c in (before, customer)]
             if buckets[0].holders != buckets[1].holders:
                 # An added holder must not grant again what the others have granted.
                 self._handover_until[name] = now + HANDOVER_S
@@ -302,7 +303,7 @@
         for name in self._accounts.keys() - customers.keys():
             del self._accounts[name]
 
-    def take_members(self, members: tuple[Member, ...], now: float) -> None:
+    def update_members(self, members: tuple[Member, ...], now: float) -> None:
         """Apply a newer member list."""
         if members == self._member_lists[-1][0]:
             return
@@ -311,7 +312,7 @@
         self._list_number += 1
 
     def ask(
-        self, customer: str, program: str, kind: str, ahead: bool, now: float
+        self, customer: str, program: str, kind: str, allow_delayed: bool, now: float
     ) -> Permit:
         """Grant or reject a permit for one request.
 
@@ -321,18 +322,18 @@
             Program of the request; empty for a single request.
         kind : str
             Kind of the program if this may be its first request; else empty.
-        ahead : bool
+        allow_delayed : bool
             Whether a permit that becomes valid a little later is accepted.
         """
         known = self._customers.get(customer)
         if known is None:
-            return Permit(Answer.NOT_MINE)
+            return Permit(PermitStatus.NOT_HOLDER)
         if known.quota is None:
-            return Permit(Answer.GRANTED)
-        bucket = allowance(known.quota, self._bounds)
+            return Permit(PermitStatus.GRANTED)
+        bucket = holder_quota(known.quota, self._bounds)
         account = self._account(customer, bucket, now)
         if account is None:
-            return Permit(Answer.NOT_MINE)
+            return Permit(PermitStatus.NOT_HOLDER)
         account.permits.refill(bucket.rate_per_s, bucket.depth, now)
         account.admissions.refill(bucket.rate_per_s, bucket.depth, now)
         account.expire_programs(self._estimates, now)
@@ -341,11 +342,13 @@
         is_new = knows_programs and bool(kind) and program not in account.programs
         if (is_new or not program) and account.admissions.level <= 0:
             return Permit(
-                Answer.SPENT, -account.admissions.level / bucket.rate_per_s, True
+                PermitStatus.EXHAUSTED,
+                -account.admissions.level / bucket.rate_per_s,
+                True,
             )
         wait_s = max(0.0, 1.0 - account.permits.level) / bucket.rate_per_s
-        if wait_s > (AHEAD_S if ahead else 0.0):
-            return Permit(Answer.SPENT, wait_s)
+        if wait_s > (MAX_ADVANCE_S if allow_delayed else 0.0):
+            return Permit(PermitStatus.EXHAUSTED, wait_s)
         account.permits.level -= 1.0
         if is_new:
             account.admit_program(program, kind, self._estimates.estimate(kind), now)
@@ -353,10 +356,10 @@
             account.record_request(program, now)
         else:
             account.admissions.level -= 1.0
-        return Permit(Answer.GRANTED, wait_s)
+        return Permit(PermitStatus.GRANTED, wait_s)
 
     def _account(
-        self, customer: str, bucket: Allowance, now: float
+        self, customer: str, bucket: HolderQuota, now: float
     ) -> _CustomerAccount | None:
         """Return the account of a customer; None if this is not (yet) a holder."""
         account = self._accounts.get(customer)
@@ -385,7 +388,7 @@
         resumed_at = 0.0
         for index in reversed(range(len(self._member_lists))):
             members, known_at = self._member_lists[index]
-            if self._me in holders_of(members, customer, count):
+            if self._me in quota_holders(members, customer, count):
                 held_from = known_at + (HANDOVER_S if index else 0.0)
                 resumed_at = known_at
             elif held_from is None or resumed_at - known_at > MAX_GAP_S:
--- a/wisteriastair/core/reach.py
+++ b/wisteriastair/core/reach.py
@@ -19,27 +19,27 @@
 PROBE_AFTER_S: Final = 0.4
 
 
-class Reach:
+class Reachability:
     """State of one set of peers, which count as reachable until a failure."""
 
     def __init__(self) -> None:
-        self.away = False
+        self.unreachable = False
         self._last_success_at = float("-inf")
 
-    def succeeded(self, now: float) -> bool:
+    def record_success(self, now: float) -> bool:
         """Record a success; return whether the peers were unreachable before."""
         self._last_success_at = now
-        was_unreachable = self.away
-        self.away = False
+        was_unreachable = self.unreachable
+        self.unreachable = False
         return was_unreachable
 
-    def failed(self, now: float) -> bool:
+    def record_failure(self, now: float) -> bool:
         """Record a failure; return whether the peers become unreachable by it."""
-        if self.away or now - self._last_success_at < SUCCESS_VALID_S:
+        if self.unreachable or now - self._last_success_at < SUCCESS_VALID_S:
             return False
-        self.away = True
+        self.unreachable = True
         return True
 
-    def wants_probe(self, now: float) -> bool:
+    def is_probe_due(self, now: float) -> bool:
         """Return whether a probe is due."""
         return now - self._last_success_at >= PROBE_AFTER_S
--- a/wisteriastair/core/silence.py
+++ b/wisteriastair/core/retries.py
@@ -23,25 +23,25 @@
 MAX_RETRY_BUDGET: Final = 10.0
 
 
-class Silence:
+class RetryPolicy:
     """Mean response time of each service, and the remaining retry budget."""
 
     def __init__(self) -> None:
         self._mean_response_s: dict[str, float] = {}
         self._retry_budget = MAX_RETRY_BUDGET
 
-    def asked(self) -> None:
+    def record_request(self) -> None:
         """Record a request, which adds to the retry budget."""
         self._retry_budget = min(MAX_RETRY_BUDGET, self._retry_budget + RETRY_FRACTION)
 
-    def answered(self, service: str, seconds: float) -> None:
+    def record_response(self, service: str, seconds: float) -> None:
         """Record the time of a complete response in seconds."""
         mean_s = self._mean_response_s.setdefault(service, seconds)
         self._mean_response_s[service] = mean_s + RESPONSE_TIME_WEIGHT * (
             seconds - mean_s
         )
 
-    def limit_s(self, service: str) -> float | None:
+    def attempt_timeout_s(self, service: str) -> float | None:
         """Return the timeout of an attempt in seconds.
 
         None if the response time of the service is unknown or the retry budget is used
@@ -52,6 +52,6 @@
             return None
         return max(MIN_TIMEOUT_S, TIMEOUT_FACTOR * mean_s)
 
-    def repeated(self) -> None:
+    def record_retry(self) -> None:
         """Record a retry, which uses the budget."""
         self._retry_budget -= 1.0
--- a/wisteriastair/core/reuse.py
+++ b/wisteriastair/core/reuse.py
@@ -18,7 +18,7 @@
 from functools import lru_cache
 from typing import Final, NamedTuple
 
-from .hashing import hash_word
+from .hashing import hash64
 
 # Maximum number of segments stored per server: the turns of some minutes at 2.4 turns
 # per second.
@@ -30,14 +30,14 @@
 FIRST_PRIVATE: Final = 1
 
 
-class PromptPart(NamedTuple):
+class PromptSegment(NamedTuple):
     """A segment of a prompt. The last ones belong to one program or session."""
 
     id: str
     tokens: int
 
 
-class KnownParts:
+class CachedSegments:
     """Segments that one server has probably cached; the oldest are evicted."""
 
     def __init__(self) -> None:
@@ -49,7 +49,7 @@
     def __len__(self) -> int:
         return len(self._tokens)
 
-    def note(self, segments: Iterable[PromptPart]) -> None:
+    def add(self, segments: Iterable[PromptSegment]) -> None:
         """Add the segments of a prompt that the server has computed."""
         for segment in segments:
             self._tokens[segment.id] = max(
@@ -59,7 +59,7 @@
             del self._tokens[next(iter(self._tokens))]
 
     def missing_fraction(
-        self, segments: tuple[PromptPart, ...], total: int = 0
+        self, segments: tuple[PromptSegment, ...], total: int = 0
     ) -> float:
         """Return the fraction of a prompt's tokens that the server has to compute.
 
@@ -85,7 +85,9 @@
         return 1.0 - cached_tokens / total
 
 
-def agreed_server(segments: tuple[PromptPart, ...], servers: tuple[str, ...]) -> str:
+def rendezvous_server(
+    segments: tuple[PromptSegment, ...], servers: tuple[str, ...]
+) -> str:
     """Return the server that all processes choose for a program; empty for none.
 
     Parameters
@@ -102,12 +104,12 @@
 def _top_ranked(segment_id: str, servers: tuple[str, ...]) -> str:
     if len(servers) > MAX_RANKED:
         order = _servers_by_hash(servers)
-        start = bisect(order, (hash_word("program", segment_id), ""))
+        start = bisect(order, (hash64("program", segment_id), ""))
         following = (order[(start + n) % len(order)] for n in range(MAX_RANKED))
         servers = tuple(name for _, name in following)
-    return max(servers, key=lambda name: hash_word("program", segment_id, name))
+    return max(servers, key=lambda name: hash64("program", segment_id, name))
 
 
 @lru_cache(maxsize=16)
 def _servers_by_hash(servers: tuple[str, ...]) -> list[tuple[int, str]]:
-    return sorted((hash_word("server", name), name) for name in servers)
+    return sorted((hash64("server", name), name) for name in servers)
--- a/wisteriastair/core/stopping.py
+++ b/wisteriastair/core/stopping.py
@@ -12,38 +12,38 @@
 
 # Seconds after the signal for which callers are served as before. The platform needs
 # two readiness checks, one per second, to notice that a process is leaving.
-NOTICE_S: Final = 2.5
+REROUTE_S: Final = 2.5
 # Seconds left free before the kill at the end of the grace period.
 KILL_MARGIN_S: Final = 0.7
 # Seconds within which a timed-out request still gets its final response.
 FINAL_ANSWER_S: Final = 0.1
 
 
-class Stop(NamedTuple):
+class Shutdown(NamedTuple):
     """A planned shutdown in progress.
 
     Attributes
     ----------
-    began : float
+    started_at : float
         Time of the signal, in seconds of the process's clock.
     grace_s : float
         Seconds between the signal and the kill.
     """
 
-    began: float
+    started_at: float
     grace_s: float
 
     @property
     def ends_at(self) -> float:
         """Time at which requests still in progress are aborted."""
-        return self.began + max(0.0, self.grace_s - KILL_MARGIN_S)
+        return self.started_at + max(0.0, self.grace_s - KILL_MARGIN_S)
 
     @property
-    def noticed_at(self) -> float:
+    def rerouted_at(self) -> float:
         """Time from which the platform is expected to send new callers elsewhere."""
-        return min(self.began + NOTICE_S, self.ends_at)
+        return min(self.started_at + REROUTE_S, self.ends_at)
 
-    def last_call_at(self, longest_s: float) -> float:
+    def stop_accepting_at(self, max_timeout_s: float) -> float:
         """Return the time after which no request is accepted.
 
         It is the latest time at which an accepted request still has its full timeout
@@ -55,7 +55,7 @@
 
         Parameters
         ----------
-        longest_s : float
+        max_timeout_s : float
             Longest timeout of a request in seconds.
         """
-        return max(self.noticed_at, self.ends_at - FINAL_ANSWER_S - longest_s)
+        return max(self.rerouted_at, self.ends_at - FINAL_ANSWER_S - max_timeout_s)
--- a/wisteriastair/core/storetimes.py
+++ b/wisteriastair/core/storetimes.py
@@ -28,32 +28,32 @@
 MAX_WATCH_S: Final = 2.0
 
 
-class StoreTimes(NamedTuple):
+class StoreTimeouts(NamedTuple):
     """Timeouts, waits and backoff in seconds.
 
     Attributes
     ----------
-    call_s : float
+    call_timeout_s : float
         Timeout of any call except a watch.
-    watch_s : float
+    watch_wait_s : float
         Wait of a watch after a successful call.
-    retry_watch_s : float
+    retry_watch_wait_s : float
         Wait of a watch after a failed call.
-    slack_s : float
+    watch_grace_s : float
         Time after its wait at which a watch times out.
-    pause_s, pause_max_s : float
+    backoff_s, max_backoff_s : float
         Backoff after a first failed call; it doubles up to the maximum.
     """
 
-    call_s: float
-    watch_s: float
-    retry_watch_s: float
-    slack_s: float
-    pause_s: float
-    pause_max_s: float
+    call_timeout_s: float
+    watch_wait_s: float
+    retry_watch_wait_s: float
+    watch_grace_s: float
+    backoff_s: float
+    max_backoff_s: float
 
 
-def make_store_times(contact_s: float) -> StoreTimes:
+def make_store_timeouts(contact_s: float) -> StoreTimeouts:
     """Derive the timeouts from the time within which the store must be read again.
 
     Parameters
@@ -62,16 +62,16 @@
         Seconds after the store's return within which a process must have read it.
     """
     budget_s = max(MIN_CALL_S, contact_s - READ_MARGIN_S)
-    pause_max_s = min(MAX_BACKOFF_S, MAX_BACKOFF_FRACTION * budget_s)
-    pause_s = min(BACKOFF_S, pause_max_s)
-    call_s = budget_s - pause_max_s
-    return StoreTimes(
-        call_s=_clamp(call_s, MIN_CALL_S, MAX_CALL_S),
-        watch_s=_watch_wait_s(budget_s - pause_s),
-        retry_watch_s=_watch_wait_s(call_s),
-        slack_s=WATCH_GRACE_S,
-        pause_s=pause_s,
-        pause_max_s=pause_max_s,
+    max_backoff_s = min(MAX_BACKOFF_S, MAX_BACKOFF_FRACTION * budget_s)
+    backoff_s = min(BACKOFF_S, max_backoff_s)
+    call_timeout_s = budget_s - max_backoff_s
+    return StoreTimeouts(
+        call_timeout_s=_clamp(call_timeout_s, MIN_CALL_S, MAX_CALL_S),
+        watch_wait_s=_watch_wait_s(budget_s - backoff_s),
+        retry_watch_wait_s=_watch_wait_s(call_timeout_s),
+        watch_grace_s=WATCH_GRACE_S,
+        backoff_s=backoff_s,
+        max_backoff_s=max_backoff_s,
     )
 
 
--- a/wisteriastair/core/watchers.py
+++ b/wisteriastair/core/watchers.py
@@ -20,9 +20,9 @@
 
 import msgspec
 
-from .hashing import address_of, rank
-from .ledgerwire import StoreNews, Subscribe
-from .membership import Member, View, holder_order, over_domains
+from .hashing import address_of, rendezvous_order
+from .ledgerwire import StoreUpdate, Subscribe
+from .membership import Member, View, sort_local_first, spread_over_domains
 
 # A change must take effect everywhere within a bound that the operators set. A watch
 # waits for at most a quarter of the bound, so that an idle store is confirmed four
@@ -51,7 +51,7 @@
     """Wait of a watch of the store, and validity of its result, in seconds."""
 
     wait_s: float
-    limit_s: float
+    validity_s: float
 
 
 def make_watch_times(bound_s: float) -> WatchTimes:
@@ -60,17 +60,17 @@
     return WatchTimes(bound_s / WAITS_PER_BOUND, bound_s / VALIDITY_DIVISOR)
 
 
-def watchers_of(view: View, losses: int) -> tuple[Member, ...]:
-    """Choose the watchers: one more than `losses`, in different failure domains.
+def watchers_of(view: View, max_failures: int) -> tuple[Member, ...]:
+    """Choose the watchers: one more than `max_failures`, in different failure domains.
 
     Parameters
     ----------
-    losses : int
+    max_failures : int
         Number of members that may fail at once.
     """
     by_name = {member.name: member for member in view.members}
-    order = [by_name[name] for name in rank("store watch", by_name)]
-    return over_domains(order, losses + 1)
+    order = [by_name[name] for name in rendezvous_order("store watch", by_name)]
+    return spread_over_domains(order, max_failures + 1)
 
 
 class _LastUpdate(NamedTuple):
@@ -78,7 +78,7 @@
 
     at: float
     revision: int
-    in_touch: bool
+    store_reachable: bool
 
 
 class Subscription:
@@ -90,17 +90,19 @@
         Address of this process.
     domain : str
         Its failure domain. Values come from a watcher in it if there is one.
-    losses : int
+    max_failures : int
         Number of members that may fail at once.
     times : WatchTimes
         Validity of an update from a watcher.
     """
 
-    def __init__(self, me: str, domain: str, losses: int, times: WatchTimes) -> None:
+    def __init__(
+        self, me: str, domain: str, max_failures: int, times: WatchTimes
+    ) -> None:
         self.times = times
         self._me = me
         self._domain = domain
-        self._losses = losses
+        self._max_failures = max_failures
         self._members: tuple[Member, ...] = ()
         self._members_since = NEVER
         self._watchers_chosen_from: tuple[Member, ...] = ()
@@ -132,11 +134,11 @@
         ):
             return
         self._watchers_chosen_from = self._members
-        chosen = watchers_of(view, self._losses)
-        self._watchers = [m.address for m in holder_order(chosen, self._domain)]
+        chosen = watchers_of(view, self._max_failures)
+        self._watchers = [m.address for m in sort_local_first(chosen, self._domain)]
         self._renew_at = NEVER
 
-    def due(self, now: float) -> list[tuple[str, Subscribe]]:
+    def due_subscriptions(self, now: float) -> list[tuple[str, Subscribe]]:
         """Return the subscriptions to send now.
 
         Values are requested from one watcher only. A large configuration from each of
@@ -154,13 +156,15 @@
         fresh = [a for a in self._watchers if self._is_fresh(a, now)]
         return next(iter(fresh or self._watchers), "")
 
-    def hear(self, sender: str, news: StoreNews, now: float) -> None:
+    def on_update(self, sender: str, store_update: StoreUpdate, now: float) -> None:
         """Record an update from a watcher."""
         address = address_of(sender)
         if address not in self._watchers:
             return
-        self._last_updates[address] = _LastUpdate(now, news.revision, news.in_touch)
-        oldest = now - self.times.limit_s
+        self._last_updates[address] = _LastUpdate(
+            now, store_update.revision, store_update.store_reachable
+        )
+        oldest = now - self.times.validity_s
         self._last_updates = {
             a: u
             for a, u in self._last_updates.items()
@@ -168,7 +172,7 @@
         }
         self._track_lag(now)
 
-    def holds(self, revision: int, now: float) -> None:
+    def set_revision(self, revision: int, now: float) -> None:
         """Set the revision up to which this process has applied all changes."""
         self._revision = revision
         self._track_lag(now)
@@ -182,9 +186,9 @@
 
     def _is_fresh(self, address: str, now: float) -> bool:
         last = self._last_updates.get(address)
-        if last is None or not last.in_touch:
+        if last is None or not last.store_reachable:
             return False
-        return now - last.at <= self.times.limit_s
+        return now - last.at <= self.times.validity_s
 
     def covered_until(self, now: float) -> float:
         """Return the time until which this process need not watch by itself.
@@ -196,21 +200,23 @@
         if self.is_watcher:
             return NEVER
         fresh = [u.at for a, u in self._last_updates.items() if self._is_fresh(a, now)]
-        until = max(fresh, default=NEVER) + self.times.limit_s
+        until = max(fresh, default=NEVER) + self.times.validity_s
         if self._behind_since is not None:
             until = min(until, self._behind_since + CHANGE_GRACE_S)
         return until
 
-    def store_lost(self, now: float) -> bool:
+    def is_store_down(self, now: float) -> bool:
         """Return whether there are recent updates and all report a store outage."""
         recent = [
-            u for u in self._last_updates.values() if now - u.at <= self.times.limit_s
+            u
+            for u in self._last_updates.values()
+            if now - u.at <= self.times.validity_s
         ]
-        return bool(recent) and not any(u.in_touch for u in recent)
+        return bool(recent) and not any(u.store_reachable for u in recent)
 
 
 def make_subscription(
-    me: str, domain: str, losses: int, bound_s: float
+    me: str, domain: str, max_failures: int, bound_s: float
 ) -> Subscription:
     """Create the subscription of a process to the watchers.
 
@@ -219,7 +225,7 @@
     bound_s : float
         Seconds within which a change of the store must take effect.
     """
-    return Subscription(me, domain, losses, make_watch_times(bound_s))
+    return Subscription(me, domain, max_failures, make_watch_times(bound_s))
 
 
 class Subscribers:
@@ -233,22 +239,26 @@
         """Add or renew a subscription; return whether it is new."""
         is_new = sender not in self._expires_at
         self._expires_at[sender] = now + LEASE_S
-        self._wants_values[sender] = request.values
+        self._wants_values[sender] = request.with_values
         return is_new
 
-    def any(self, now: float) -> bool:
+    def has_active(self, now: float) -> bool:
         """Return whether there are subscribers."""
         self._expire(now)
         return bool(self._expires_at)
 
-    def tell(self, news: StoreNews, now: float) -> list[tuple[str, StoreNews]]:
+    def make_updates(
+        self, store_update: StoreUpdate, now: float
+    ) -> list[tuple[str, StoreUpdate]]:
         """Return an update addressed to each subscriber."""
         self._expire(now)
         without_values = (
-            msgspec.structs.replace(news, changes=None) if news.changes else news
+            msgspec.structs.replace(store_update, changes=None)
+            if store_update.changes
+            else store_update
         )
         return [
-            (member, news if self._wants_values[member] else without_values)
+            (member, store_update if self._wants_values[member] else without_values)
             for member in self._expires_at
         ]
 
