--- a/tests/core/test_retries.py
+++ b/tests/core/test_retries.py
@@ -18,8 +18,8 @@
     assert policy.attempt_timeout_s("svc") == MIN_TIMEOUT_S
     for _ in range(300):
         policy.record_response("svc", 0.2)
-    attempt_timeout_s = policy.attempt_timeout_s("svc")
-    assert attempt_timeout_s is not None and attempt_timeout_s > 0.9 * TIMEOUT_FACTOR * 0.2
+    timeout_s = policy.attempt_timeout_s("svc")
+    assert timeout_s is not None and timeout_s > 0.9 * TIMEOUT_FACTOR * 0.2
     assert policy.attempt_timeout_s("other") is None
 
 
--- a/wisteriastair/core/watchers.py
+++ b/wisteriastair/core/watchers.py
@@ -3,8 +3,8 @@
 The store counts every call and every waiting watch. If each process watched by itself,
 one change would cost as many calls as there are processes: 7,093 calls on a calm day
 with 84 processes. Therefore only a few keepers watch. All processes choose the same
-ones from the member list: one more than the number of failures to tolerate, in different
-failure domains. The watchers send the changes to all subscribers.
+ones from the member list: one more than the number of failures to tolerate, in
+different failure domains. The watchers send the changes to all subscribers.
 
 A watcher can be down, frozen, partitioned, or partitioned from the store alone, and
 then sends nothing or outdated data. Its updates are therefore valid for a short time
