--- a/wisteriastair/core/choice.py
+++ b/wisteriastair/core/choice.py
@@ -38,7 +38,7 @@
 # service. It is low because requests stay longer on a slow server and thus already
 # raise its load.
 SLOWNESS_COST: Final = 0.1
-# Maximum number of servers to compare. Of more servers, only the preferred ones and a
+# Maximum number of servers to compare. If there are more, only the preferred ones and a
 # random sample are compared, as a full comparison would cost more than the rest of a
 # turn.
 MAX_CANDIDATES: Final = 64
@@ -122,12 +122,12 @@
 ) -> list[ServerState]:
     """Keep the preferred servers and a random sample of the others.
 
-    Preferred are the rendezvous server and the servers that have this program's prompt
-    cached. Sampling the groups of servers with idle connections, of affinity servers,
-    and of all servers keeps processes that know little of the load from converging on
-    the same servers.
+    The preferred servers are the rendezvous server and the servers that have this
+    program's prompt cached. Sampling the servers with idle connections, the affinity
+    servers and all servers keeps processes that know little of the load from converging
+    on the same servers.
     """
-    private_segments = (
+    program_segment_id = (
         context.segments[FIRST_PRIVATE].id
         if len(context.segments) > FIRST_PRIVATE
         else ""
@@ -136,7 +136,7 @@
         state.incarnation: state
         for state in servers
         if state.server.id == context.rendezvous_id
-        or (private_segments and private_segments in state.cached_segments)
+        or (program_segment_id and program_segment_id in state.cached_segments)
     }
     idle = [state for state in servers if state.incarnation in context.connected]
     affinity_servers = [
--- a/wisteriastair/core/fleet.py
+++ b/wisteriastair/core/fleet.py
@@ -32,8 +32,8 @@
 # missed.
 MIN_SERVERS_FAST_EJECTION: Final = 12
 MAX_EJECTION_S: Final = 8.0
-# Time in seconds for entries to come back after an outage of the store. They need about
-# two seconds.
+# Time allowed for entries to come back after an outage of the store, in seconds. They
+# need about two seconds.
 REREGISTRATION_S: Final = 2.6
 # Fraction of the drain time within which a leaving server may be used if its service
 # has no other. The other half, one of two seconds, covers the delay until the removal
--- a/wisteriastair/core/quota.py
+++ b/wisteriastair/core/quota.py
@@ -3,9 +3,9 @@
 Load pattern: the callers of a customer reach any relay, move between failure domains,
 and may send many times their usual load. Each relay sees only a part of it. A request
 of a customer with a quota therefore needs a permit from one of the customer's holders,
-which all processes determine by rendezvous hash. Each holder owns an equal part of
-the quota as a token bucket of its own. The loss of a holder thus costs only its part of
-the quota, and holders need no agreement.
+which all processes determine by rendezvous hash. Each holder owns an equal part of the
+quota as a token bucket of its own. The loss of a holder thus costs only its part of the
+quota, and holders need no agreement.
 
 A holder restarts with an empty bucket, as it has no record of its permits. Over any
 time span it grants at most one full bucket plus the inflow, with or without a restart,
@@ -36,15 +36,15 @@
 # Fraction of the tolerated excess that permits may use. The rest is for requests that
 # run on a second server, and for clock differences.
 TOLERANCE_FRACTION: Final = 0.8
-# Maximum time in seconds before its validity at which a permit is granted; the relay
-# waits until it is valid. A rejected caller would take longer to come back.
+# A permit is granted at most this many seconds before it becomes valid, and the relay
+# waits until then. A rejected caller would take longer to come back.
 MAX_ADVANCE_S: Final = 0.5
 # Wait of a new holder in seconds. It exceeds the time in which its predecessor receives
 # the new member list, or notices that it has lost contact to most members.
 HANDOVER_S: Final = 2.5
-# A holder that was absent for at most this long, in seconds, was not replaced. It is
-# shorter than `HANDOVER_S` by more than twice the time in which lists reach all
-# members.
+# Longest absence of a holder, in seconds, during which no other member can have
+# replaced it. It is shorter than `HANDOVER_S` by more than twice the time in which
+# lists reach all members.
 MAX_GAP_S: Final = 1.0
 # Maximum number of stored member lists, from which the start of a holder's term is
 # found.
@@ -127,9 +127,8 @@
     """Derive the token bucket of each holder from a customer's quota.
 
     Requests that arrive in a window got their permits in a span longer by
-    `PERMIT_LIFETIME_S`. A
-    bucket grants its depth plus the inflow, so the total depth is the window's limit
-    less the inflow of that span, divided among the holders.
+    `PERMIT_LIFETIME_S`. A bucket grants its depth plus the inflow, so the total depth
+    is the window's limit less the inflow of that span, divided among the holders.
     """
     rate, burst = quota
     allowed = rate * bounds.window_s + burst
--- a/wisteriastair/core/reuse.py
+++ b/wisteriastair/core/reuse.py
@@ -23,7 +23,7 @@
 # Maximum number of segments stored per server: the turns of some minutes at 2.4 turns
 # per second.
 MAX_SEGMENTS: Final = 512
-# Maximum number of servers ranked for a program. Of more servers, only those that
+# Maximum number of servers ranked for a program. If there are more, only those that
 # follow the program's hash on the hash ring are ranked.
 MAX_RANKED: Final = 64
 # Index of the first segment that belongs to one program only.
--- a/wisteriastair/core/routes.py
+++ b/wisteriastair/core/routes.py
@@ -78,7 +78,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Return whether the same request may run twice."""
+        """Whether the same request may run twice."""
         return self.kind is RequestKind.SAFE
 
     def service_for(self, request_id: str) -> str:
--- a/wisteriastair/core/stopping.py
+++ b/wisteriastair/core/stopping.py
@@ -49,9 +49,9 @@
         It is the latest time at which an accepted request still has its full timeout
         left. Callers that come later are rejected at once, so that they can go
         elsewhere. The time is the same for all routes: short requests accepted after it
-        would keep the process from ending. If requests may take longer than the grace
-        period, the time is when the platform has had time to notice, and requests that
-        take too long are aborted.
+        would keep the process alive while it rejects all others. If requests may take
+        longer than the grace period, requests are accepted until the platform has had
+        time to notice the shutdown, and those that take too long are aborted.
 
         Parameters
         ----------
--- a/wisteriastair/core/storetimes.py
+++ b/wisteriastair/core/storetimes.py
@@ -10,10 +10,11 @@
 
 from typing import Final, NamedTuple
 
-# Part of that time for a new connection and for reading everything, in seconds.
+# Part of the contact time that is left for a new connection and for reading everything,
+# in seconds.
 READ_MARGIN_S: Final = 0.5
-# Backoff after a first failed call and its maximum, in seconds, and the maximum as a
-# fraction of that time.
+# Backoff after a first failed call and its maximum, in seconds. The maximum is also
+# limited to a fraction of the contact time without the margin.
 BACKOFF_S: Final = 0.25
 MAX_BACKOFF_S: Final = 1.0
 MAX_BACKOFF_FRACTION: Final = 0.4
@@ -54,7 +55,7 @@
 
 
 def make_store_timeouts(contact_s: float) -> StoreTimeouts:
-    """Derive the timeouts from the time within which the store must be read again.
+    """Derive the timeouts from the contact time.
 
     Parameters
     ----------
