--- a/tests/core/test_choice.py
+++ b/tests/core/test_choice.py
@@ -137,18 +137,18 @@
     rng = random.Random(3)
     fleet = many_servers(1_500)
     servers = fleet.eligible_servers("svc", 0.0)
-    parts = (PromptSegment("shared", 12_600), PromptSegment("line", 1_000))
+    segments = (PromptSegment("shared", 12_600), PromptSegment("line", 1_000))
     rendezvous_id = "s701"
     for _ in range(50):
         context = SelectionContext(
-            "d1", parts, frozenset(), 17.0, frozenset(), rendezvous_id=rendezvous_id
+            "d1", segments, frozenset(), 17.0, frozenset(), rendezvous_id=rendezvous_id
         )
         chosen = select_server(servers, context, rng.randrange, 0.0)
         assert chosen is not None and chosen.server.id == rendezvous_id
-    server_state(fleet, "s702").cached_segments.add(parts)
+    server_state(fleet, "s702").cached_segments.add(segments)
     for _ in range(50):
         context = SelectionContext(
-            "d1", parts, frozenset(), 17.0, frozenset(), rendezvous_id=rendezvous_id
+            "d1", segments, frozenset(), 17.0, frozenset(), rendezvous_id=rendezvous_id
         )
         chosen = select_server(servers, context, rng.randrange, 0.0)
         assert chosen is not None and chosen.server.id == "s702"
--- a/tests/core/test_fleet.py
+++ b/tests/core/test_fleet.py
@@ -19,10 +19,10 @@
 
 
 def fleet(*ids: str) -> Fleet:
-    made = Fleet(drain_s=2.0)
+    new_fleet = Fleet(drain_s=2.0)
     for server_id in ids:
-        made.put(server(server_id))
-    return made
+        new_fleet.put(server(server_id))
+    return new_fleet
 
 
 def eligible_servers(under_test: Fleet, now: float) -> set[str]:
@@ -105,7 +105,7 @@
 
 
 def test_servers_stay_in_use_if_most_entries_are_removed_after_an_outage() -> None:
-    """Entries are removed after an outage because their heartbeats were missed in it.
+    """Entries are removed after an outage because their heartbeats were missed.
 
     If only the remaining servers were used, they would get the load of all. The removed
     ones must not stay in use for longer than leaving servers serve.
--- a/tests/core/test_quota.py
+++ b/tests/core/test_quota.py
@@ -23,7 +23,7 @@
 MEMBERS = tuple(Member(f"k{n}", f"disk{n}", f"k{n}:1", f"d{n}") for n in range(3))
 SIMULATION_S = 60.0
 ROUNDING = 1e-9
-# With the last five, buckets filled up each time an old member list was dropped.
+# The last five detect a bucket that fills up whenever a member list is dropped.
 SEEDS = (*range(6), 122, 141, 148, 149, 155)
 ALLOWED = (QUOTA.rate_per_s * BOUNDS.window_s + QUOTA.burst) * (
     1 + BOUNDS.excess_fraction
--- a/tests/core/test_watchers.py
+++ b/tests/core/test_watchers.py
@@ -51,8 +51,8 @@
 def test_a_removed_member_moves_only_its_own_watch() -> None:
     before = view_of(24)
     selected = watchers_of(before, max_failures=2)
-    left = View(2, tuple(m for m in before.members if m != selected[0]))
-    assert set(selected[1:]) <= set(watchers_of(left, max_failures=2))
+    remaining = View(2, tuple(m for m in before.members if m != selected[0]))
+    assert set(selected[1:]) <= set(watchers_of(remaining, max_failures=2))
 
 
 def test_values_come_from_one_watcher_and_fail_over_to_another() -> None:
@@ -65,8 +65,8 @@
     def source(now: float) -> str:
         requests = dict(own_subscription.due_subscriptions(now))
         assert sorted(requests) == sorted(selected)
-        (subscription,) = [a for a, request in requests.items() if request.with_values]
-        return subscription
+        (values_source,) = [a for a, request in requests.items() if request.with_values]
+        return values_source
 
     first = source(0.0)
     other = next(a for a in selected if a != first)
@@ -118,10 +118,10 @@
     watcher.set_revision(5, 0.0)
     watcher.on_update(selected[1], update_of(5), 0.0)
     assert watcher.is_watcher and watcher.covered_until(0.0) < 0.0
-    stranger = next(m.address for m in view.members if m.address not in selected)
+    other_member = next(m.address for m in view.members if m.address not in selected)
     own_subscription = make_test_subscription(view)
     own_subscription.set_revision(5, 0.0)
-    own_subscription.on_update(stranger, update_of(5), 0.0)
+    own_subscription.on_update(other_member, update_of(5), 0.0)
     assert own_subscription.covered_until(0.0) < 0.0
 
 
--- a/wisteriastair/core/__init__.py
+++ b/wisteriastair/core/__init__.py
@@ -25,7 +25,7 @@
     Roles of the members of a slot, and replication of its log.
 ``placement``, ``balance``
     Changes of the slot table, and the policy for them.
-``program``, ``running``, ``carrier``, ``calls``, ``admission``
+``program``, ``running``, ``primary``, ``calls``, ``admission``
     The steps of a program, and the primary that executes them.
 ``dispatch``, ``routing``
     Choice of a server for a call.
--- a/wisteriastair/core/admission.py
+++ b/wisteriastair/core/admission.py
@@ -44,7 +44,7 @@
     ----------
     me : str
         Member id, for the operators' listing.
-    carrier, programs, slots, dispatcher, out
+    primary, programs, slots, dispatcher, out
         Components that it uses.
     max_active : int
         Maximum number of running programs on this primary.
--- a/wisteriastair/core/balance.py
+++ b/wisteriastair/core/balance.py
@@ -99,8 +99,11 @@
             replica = self._slots.replica(number)
             if replica.learner != NO_MEMBER or replica.peer in (NO_MEMBER, member):
                 continue
-            standby = self._peers.replica_count_of(replica.peer)
-            if standby is not None and peer_count + MIN_REPLICA_GAP <= standby:
+            standby_count = self._peers.replica_count_of(replica.peer)
+            if (
+                standby_count is not None
+                and peer_count + MIN_REPLICA_GAP <= standby_count
+            ):
                 self._slots.copy_to(number, member, now)
                 peer_count += MIN_REPLICA_GAP
 
--- a/wisteriastair/core/dispatch.py
+++ b/wisteriastair/core/dispatch.py
@@ -15,7 +15,7 @@
 from .routing import Call, Candidate, Router
 from .wire import CallResult, ServerLoad
 
-LOAD_MAX_AGE_S: Final = 10.0
+MAX_LOAD_AGE_S: Final = 10.0
 PREFIX_CHARS: Final = 256
 PREFERRED_SERVERS: Final = 2
 SPEED_WEIGHT: Final = 0.2
@@ -119,7 +119,7 @@
 
     def _candidate_load(self, server: str, now: float) -> Candidate:
         view = self._views.setdefault(server, _ServerView())
-        is_fresh = now - view.load_at <= LOAD_MAX_AGE_S
+        is_fresh = now - view.load_at <= MAX_LOAD_AGE_S
         load = view.load if is_fresh else None
         extra_s = self._extra_s(view) if is_fresh else 0.0
         return Candidate(server, 0, load, view.sent_since, extra_s)
@@ -133,10 +133,10 @@
         token_times_s = sorted(v.token_s for v in self._views.values() if v.token_s > 0)
         if len(token_times_s) < MIN_MEASURED_SERVERS or view.token_s <= 0:
             return 0.0
-        median_s = token_times_s[len(token_times_s) // 2]
-        if view.token_s < SLOW_FACTOR * median_s:
+        median_token_s = token_times_s[len(token_times_s) // 2]
+        if view.token_s < SLOW_FACTOR * median_token_s:
             return 0.0
-        return view.call_s * (1.0 - median_s / view.token_s)
+        return view.call_s * (1.0 - median_token_s / view.token_s)
 
     def _servers(
         self, config: Config, kind: str, target: str, avoid_server: str, now: float
--- a/wisteriastair/core/placement.py
+++ b/wisteriastair/core/placement.py
@@ -33,7 +33,7 @@
 
 SEGMENT_PREFIX: Final = "slots/"
 RETRY_S: Final = 0.05
-RETRY_MAX_S: Final = 2.0
+MAX_RETRY_S: Final = 2.0
 ANSWER_TIMEOUT_S: Final = 5.0
 
 _ROWS: Final = msgspec.msgpack.Decoder(list[SlotRow])
@@ -99,7 +99,7 @@
         segment = self._segments[segment_key(slot, self.segments)]
         segment.proposals.pop(slot, None)
 
-    def settle(self, slot: int, epoch: int) -> None:
+    def drop_superseded(self, slot: int, epoch: int) -> None:
         """Remove a proposal that the table has superseded."""
         segment = self._segments[segment_key(slot, self.segments)]
         row = segment.proposals.get(slot)
@@ -113,7 +113,7 @@
             known = self.rows.get(slot)
             if known is None or row.epoch > known.epoch:
                 self.rows[slot] = row
-                self.settle(slot, row.epoch)
+                self.drop_superseded(slot, row.epoch)
                 newer.append(row)
         return newer
 
@@ -167,6 +167,6 @@
         segment = self._segments[key]
         segment.busy_until = 0.0
         segment.attempts += 1
-        delay = min(RETRY_MAX_S, RETRY_S * 2 ** min(segment.attempts, 10))
+        delay = min(MAX_RETRY_S, RETRY_S * 2 ** min(segment.attempts, 10))
         jitter = hash64(self._me, key, str(segment.attempts)) % 1000 / 1000
         segment.retry_at = now + delay * (0.5 + jitter)
