--- a/tests/core/bench.py
+++ b/tests/core/bench.py
@@ -1,6 +1,6 @@
-"""Time of the decisions on a request's way, in microseconds.
+"""Microbenchmarks of the decisions made per request.
 
-A choice of a server has a prompt of three parts.
+The prompts for server selection have three segments.
 
 python -m tests.core.bench
 """
@@ -29,7 +29,7 @@
 
 
 def main() -> None:
-    """Print the medians of some rounds."""
+    """Print the median times."""
     for count in SERVERS:
         print(f"one choice of {count} servers: {choice_us(count):.1f} us")
     for count in CUSTOMERS:
@@ -38,7 +38,7 @@
 
 
 def key_us(count: int) -> float:
-    """Time from the header of a request to its customer."""
+    """Return the time to look up a request's customer by its header."""
     keys = [f"key-{number:016}" for number in range(count)]
     customers = Customers(
         (Customer(key, None, None), [digest_key(key.encode())]) for key in keys
@@ -46,42 +46,42 @@
     headers = [(b"Authorization", f"Bearer {key}".encode()) for key in keys[:PROGRAMS]]
 
     def look_up() -> None:
-        for one in headers:
-            customers.find_by_digest(key_digest([one]))
+        for header in headers:
+            customers.find_by_digest(key_digest([header]))
 
     return median_us(look_up, len(headers))
 
 
 def permit_us(count: int) -> float:
-    """Time of a holder's decision."""
+    """Return the time of one permit decision of a holder."""
     members = tuple(Member(f"k{n}", f"d{n}", f"k{n}:1", "d") for n in range(MEMBERS))
     names = [f"customer-{number}" for number in range(count)]
     bounds = QuotaBounds(5.0, 0.1, 20.0)
     holder = QuotaHolder(members[0], bounds, members, 0.0)
     quota = Quota(100.0, 100.0)
     holder.configure({name: Customer(name, None, quota) for name in names}, 0.0)
-    asked = names[:PROGRAMS]
+    requested = names[:PROGRAMS]
 
     def ask() -> None:
-        for name in asked:
+        for name in requested:
             holder.ask(name, "program", "kind", False, 30.0)
 
-    return median_us(ask, len(asked))
+    return median_us(ask, len(requested))
 
 
-def median_us(work: Callable[[], None], times: int) -> float:
-    """Return the time of one piece of work, the median of some rounds."""
-    took = []
+def median_us(operation: Callable[[], None], repetitions: int) -> float:
+    """Return the median time of one repetition in microseconds."""
+    durations_us = []
     for _ in range(ROUNDS):
         began = time.perf_counter()
-        work()
-        took.append((time.perf_counter() - began) / times * 1e6)
-    return statistics.median(took)
+        operation()
+        durations_us.append((time.perf_counter() - began) / repetitions * 1e6)
+    return statistics.median(durations_us)
 
 
 def choice_us(count: int) -> float:
-    """Time of a choice among some servers."""
-    draw = random.Random(1)
+    """Return the time of one server selection."""
+    rng = random.Random(1)
     fleet = Fleet()
     for number in range(count):
         domain = f"d{number % 3}"
@@ -94,19 +94,19 @@
         for n in range(PROGRAMS)
     ]
     for prompt in prompts:
-        draw.choice(states).cached_segments.add(prompt)
+        rng.choice(states).cached_segments.add(prompt)
     for state in states:
-        state.record_load(Load(draw.randrange(20), 0, 48), 0.0)
-        state.record_success(draw.uniform(0.2, 0.6))
+        state.record_load(Load(rng.randrange(20), 0, 48), 0.0)
+        state.record_success(rng.uniform(0.2, 0.6))
     connected = frozenset(state.server.incarnation for state in states[::2])
 
     def choose_all() -> None:
         for prompt in prompts:
-            agreed = rendezvous_server(prompt, names)
-            want = SelectionContext(
-                "d1", prompt, frozenset(), 20.0, connected, agreed=agreed
+            rendezvous_id = rendezvous_server(prompt, names)
+            context = SelectionContext(
+                "d1", prompt, frozenset(), 20.0, connected, rendezvous_id=rendezvous_id
             )
-            select_server(states, want, draw.randrange, 0.1)
+            select_server(states, context, rng.randrange, 0.1)
 
     return median_us(choose_all, PROGRAMS)
 
--- a/wisteriastair/core/admission.py
+++ b/wisteriastair/core/admission.py
@@ -1,9 +1,9 @@
-"""Callers' requests at the carrier: start, attach, cancel, list.
+"""Callers' requests at the primary: start, attach, cancel, list.
 
-A request for a program that exists joins it, so a repeated request is harmless.  A
-new program is admitted only while there is room; otherwise it is refused at once,
-truthfully as not run, with a time to come back.  Programs under way are never refused
-here: finishing what has begun is what counts.
+A request for an existing program joins it, so a repeated request is harmless. A new
+program is admitted only while there is capacity. Otherwise it is rejected at once as
+not run, with a time to retry. Requests for running programs are never rejected for lack
+of capacity, as finishing them has precedence.
 """
 
 from __future__ import annotations
@@ -34,22 +34,22 @@
 RATE_WINDOW_S: Final = 10.0
 PLAIN_WALL_S: Final = 120.0
 PLAIN_TOOL_S: Final = 30.0
-SLOT_MOVES_S: Final = 0.5
+SLOT_MOVE_RETRY_S: Final = 0.5
 
 
 class Admission:
-    """Takes callers' requests.
+    """Handles callers' requests.
 
     Parameters
     ----------
     me : str
         Member id, for the operators' listing.
-    carrier, programs, slots, dispatcher, out
-        The parts it works with.
+    primary, programs, slots, dispatcher, out
+        Components that it uses.
     max_active : int
-        Programs under way at once on this carrier.
+        Maximum number of running programs on this primary.
     max_wait_s : float
-        Predicted seconds of waiting over which a new program is refused; 0 for none.
+        Predicted wait in seconds above which a new program is rejected; 0 for none.
     """
 
     def __init__(
@@ -76,15 +76,15 @@
         self._max_wait_s = max_wait_s
         self._window_start = 0.0
         self._window_finished = 0
-        self._rate = 0.0
+        self._finish_rate_per_s = 0.0
 
     def on_start(self, sender: str, start: ProgramStart, now: float) -> None:
-        """Start a program, or join the one that the same key started."""
-        if not self._is_here(sender, start.request, start.slot):
+        """Start a program, or join the program that the same key started."""
+        if not self._is_serving(sender, start.request, start.slot):
             return
         run = self._programs.by_name.get(start.program)
         if run is None:
-            failure = self._refusal(start, now)
+            failure = self._check_admission(start, now)
             if failure is not None:
                 self._fail(sender, start.request, start.program, failure)
                 return
@@ -93,23 +93,23 @@
             self._subscribe(sender, run, start.request, 0, 0, start.stream, now)
             self._primary.start(run)
             return
-        failure = _mismatch(run, start)
+        failure = _check_key_reuse(run, start)
         if failure is not None:
             self._fail(sender, start.request, start.program, failure)
             return
         self._subscribe(sender, run, start.request, 0, 0, start.stream, now)
-        self._greet(sender, run, start.request)
+        self._send_state(sender, run, start.request)
 
-    def _is_here(self, sender: str, request: str, slot: int) -> bool:
+    def _is_serving(self, sender: str, request: str, slot: int) -> bool:
         if self._slots.is_open(slot):
             return True
         if self._slots.role(slot) is not Role.PRIMARY:
             self._out.send(sender, NotPrimary(request, slot))
         return False
 
-    def _refusal(self, start: ProgramStart, now: float) -> Failure | None:
+    def _check_admission(self, start: ProgramStart, now: float) -> Failure | None:
         if start.slot in self._primary.slots_with_lost_log:
-            detail = "this key's earlier state was lost; a new key runs it for certain"
+            detail = "the state of this key was lost; a new key runs the request"
             return Failure(Code.OUTCOME_UNKNOWN, detail, "unknown")
         config = self._programs.config
         failure = _check_plain(start, config)
@@ -118,17 +118,19 @@
         if failure is not None:
             return failure
         if not self._slots.may_append(start.slot):
-            return Failure(Code.NO_PRIMARY, "the slot is moving", "no", SLOT_MOVES_S)
-        return self._overload(start, config, now)
+            return Failure(
+                Code.NO_PRIMARY, "the slot is being moved", "no", SLOT_MOVE_RETRY_S
+            )
+        return self._check_overload(start, config, now)
 
-    def _overload(
+    def _check_overload(
         self, start: ProgramStart, config: Config, now: float
     ) -> Failure | None:
-        """Refuse what would only wait, so that what has begun can finish."""
+        """Reject programs that would only wait, so that running ones can finish."""
         if self._programs.active >= self._max_active:
             self.refused += 1
-            detail = f"{self._programs.active} programs under way here"
-            return Failure(Code.OVERLOADED, detail, "no", self._come_back_s())
+            detail = f"{self._programs.active} programs are running on this process"
+            return Failure(Code.OVERLOADED, detail, "no", self._retry_after_s())
         service = config.services.get(start.service)
         if start.operation or service is None or self._max_wait_s <= 0:
             return None
@@ -136,7 +138,7 @@
         if wait_s <= self._max_wait_s:
             return None
         self.refused += 1
-        detail = f"every server would keep it waiting {wait_s:.1f} s"
+        detail = f"the predicted wait is {wait_s:.1f} s or more"
         return Failure(Code.OVERLOADED, detail, "no", wait_s)
 
     def _check_program(self, start: ProgramStart, config: Config) -> Failure | None:
@@ -151,12 +153,12 @@
             return Failure(Code.NO_SERVER, detail, "no", 5.0)
         return None
 
-    def _come_back_s(self) -> float:
-        """Seconds until a place is likely to be free, from the recent rate."""
+    def _retry_after_s(self) -> float:
+        """Estimate the seconds until capacity is free, from the recent finish rate."""
         excess = max(1, self._programs.active - self._max_active + 1)
-        if self._rate <= 0:
+        if self._finish_rate_per_s <= 0:
             return 5.0
-        return min(60.0, max(0.5, excess / self._rate))
+        return min(60.0, max(0.5, excess / self._finish_rate_per_s))
 
     def _first_record(self, start: ProgramStart, now: float) -> ProgramStarted:
         if start.operation:
@@ -190,15 +192,15 @@
         stream: bool,
         now: float,
     ) -> None:
-        known = run.subscribers.get(request)
-        if known is None or known.reply_to != sender:
-            known = Subscriber(request, sender, number, offset, stream)
-        elif (number, offset) < (known.number, known.offset):
-            # The entry has less than was sent to it, so something was lost.
-            known.number, known.offset = number, offset
-        run.subscribe(known, now)
-
-    def _greet(self, sender: str, run: RunningProgram, request: str) -> None:
+        subscriber = run.subscribers.get(request)
+        if subscriber is None or subscriber.reply_to != sender:
+            subscriber = Subscriber(request, sender, number, offset, stream)
+        elif (number, offset) < (subscriber.number, subscriber.offset):
+            # The entry process has received less than was sent, so messages were lost.
+            subscriber.number, subscriber.offset = number, offset
+        run.subscribe(subscriber, now)
+
+    def _send_state(self, sender: str, run: RunningProgram, request: str) -> None:
         if run.program.ended is None:
             self._out.send(sender, run.pending_message(request))
         run.deliver(self._out)
@@ -217,13 +219,13 @@
             attach.stream,
             now,
         )
-        self._greet(sender, run, attach.request)
+        self._send_state(sender, run, attach.request)
 
     def _find(
         self, sender: str, message: ProgramAttach | ProgramCancel
     ) -> RunningProgram | None:
-        """Return the customer's program; without one, the sender is told."""
-        if not self._is_here(sender, message.request, message.slot):
+        """Return the customer's program, or send a failure and return None."""
+        if not self._is_serving(sender, message.request, message.slot):
             return None
         run = self._programs.by_name.get(message.program)
         if run is None or run.program.start.customer != message.customer:
@@ -234,14 +236,13 @@
 
     def _not_found(self, slot: int) -> Failure:
         if slot in self._primary.slots_with_lost_log:
-            detail = "the slot's earlier state was lost"
+            detail = "the state of the slot was lost"
             return Failure(Code.OUTCOME_UNKNOWN, detail, "unknown")
-        # An id may also be unknown because its program ended long ago, so "not run"
-        # would be a guess.
+        # The program may also have ended long ago, so "not run" cannot be claimed.
         return Failure(Code.UNKNOWN_PROGRAM, "no such program", "unknown")
 
     def on_cancel(self, sender: str, cancel: ProgramCancel, now: float) -> None:
-        """End a program at its caller's wish."""
+        """Cancel a program at the request of its caller."""
         run = self._find(sender, cancel)
         if run is None:
             return
@@ -249,17 +250,17 @@
         if self._slots.may_append(cancel.slot):
             step = EndStep(Code.CANCELLED, "", "cancelled by its caller")
             self._primary.end(run, step)
-        self._greet(sender, run, cancel.request)
+        self._send_state(sender, run, cancel.request)
 
-    def on_list(self, sender: str, question: ListPrograms, now: float) -> None:
-        """List the programs carried here."""
+    def on_list(self, sender: str, query: ListPrograms, now: float) -> None:
+        """List the programs whose primary this process is."""
         rows = [
             self._row(run, now)
             for _, run in sorted(self._programs.by_name.items())
-            if not question.customer or run.program.start.customer == question.customer
+            if not query.customer or run.program.start.customer == query.customer
         ]
-        limited = tuple(rows[: question.limit])
-        self._out.send(sender, ProgramList(question.request, limited))
+        limited = tuple(rows[: query.limit])
+        self._out.send(sender, ProgramList(query.request, limited))
 
     def _row(self, run: RunningProgram, now: float) -> ProgramRow:
         program = run.program
@@ -282,10 +283,10 @@
         )
 
     def tick(self, now: float) -> None:
-        """Measure how fast programs finish."""
+        """Update the rate at which programs finish."""
         if now - self._window_start >= RATE_WINDOW_S:
             finished_count = self._primary.finished_count - self._window_finished
-            self._rate = finished_count / RATE_WINDOW_S
+            self._finish_rate_per_s = finished_count / RATE_WINDOW_S
             self._window_start = now
             self._window_finished = self._primary.finished_count
 
@@ -315,10 +316,13 @@
     return Failure(Code.UNKNOWN_SERVICE, f"no plain service '{start.service}'")
 
 
-def _mismatch(run: RunningProgram, start: ProgramStart) -> Failure | None:
-    known = run.program.start
-    same = (known.service, known.prompt) == (start.service, start.prompt)
-    if same and known.customer == start.customer:
+def _check_key_reuse(run: RunningProgram, start: ProgramStart) -> Failure | None:
+    definition = run.program.start
+    is_same_request = (definition.service, definition.prompt) == (
+        start.service,
+        start.prompt,
+    )
+    if is_same_request and definition.customer == start.customer:
         return None
     detail = "the idempotency key was used for another request"
     return Failure(Code.KEY_REUSED, detail)
--- a/wisteriastair/core/balance.py
+++ b/wisteriastair/core/balance.py
@@ -1,10 +1,11 @@
-"""Which process holds what: placing slots and keeping the load even.
-
-Slots without a row, or whose members are all gone, are placed by one process.  After
-that, carriers move their own slots: the lead to a standby that leads clearly fewer, one
-at a time, and copies to a process that holds clearly fewer.  Of the processes it
-does not share a slot with, a carrier looks at one at a time, chosen at random, so the
-cost does not grow with the fleet and not all move to the same one.
+"""Placement of slots on processes, and load balancing between them.
+
+Slots without a row, or with all members down, are placed by one process. After that,
+primaries move their own slots: the primary role to a standby that is primary of clearly
+fewer slots, one slot at a time, and replicas to a process that has clearly fewer. Of
+the processes with which it shares no slot, a primary examines one at a time, chosen at
+random. The cost therefore does not grow with the number of processes, and the slots do
+not all move to the same process.
 """
 
 from __future__ import annotations
@@ -17,26 +18,26 @@
 from .replica import NO_MEMBER, SlotRow
 from .slots import Slots
 
-BALANCE_S: Final = 1.0
-# Each look at a process outside the partners opens a connection, so it is rare.
-SAMPLE_S: Final = 3.0
-LEAD_GAP: Final = 2
-HOLD_GAP: Final = 3
-PLACE_DELAY_S: Final = 1.0
-PLACE_PATIENCE_S: Final = 5.0
-PLACE_QUIET_S: Final = 3.0
-LOST_S: Final = 6.0
+BALANCE_INTERVAL_S: Final = 1.0
+# Each sample of a process that shares no slot opens a connection, so it is rare.
+SAMPLE_INTERVAL_S: Final = 3.0
+MIN_PRIMARY_GAP: Final = 2
+MIN_REPLICA_GAP: Final = 3
+PLACE_INTERVAL_S: Final = 1.0
+MAX_MEMBER_WAIT_S: Final = 5.0
+LIST_STABLE_S: Final = 3.0
+ALL_DOWN_S: Final = 6.0
 
 
 class SlotBalancer:
-    """Places and evens out slots.
+    """Places slots and balances them between processes.
 
     Parameters
     ----------
     me : str
         Member id of this process.
     slots, placement, peers
-        The parts it works with.
+        Components that it uses.
     """
 
     def __init__(
@@ -49,103 +50,114 @@
         self._balance_at = 0.0
         self._sample_at = 0.0
         self._place_at = 0.0
-        self._place_since = 0.0
-        self._listed: list[str] = []
-        self._listed_at = 0.0
-        self._lost_since: dict[int, float] = {}
+        self._unplaced_since = 0.0
+        self._listed_addresses: list[str] = []
+        self._listed_since = 0.0
+        self._all_down_since: dict[int, float] = {}
 
     def tick(self, now: float) -> None:
-        """Move or place, if it is time."""
+        """Balance and place slots at their intervals."""
         if self._peers.draining:
             return
         if now >= self._balance_at:
-            self._balance_at = now + BALANCE_S
-            self._even_leads()
+            self._balance_at = now + BALANCE_INTERVAL_S
+            self._balance_primaries()
         if now >= self._sample_at:
-            self._sample_at = now + SAMPLE_S
-            self._even_copies(now)
+            self._sample_at = now + SAMPLE_INTERVAL_S
+            self._balance_replicas(now)
         if now >= self._place_at:
-            self._place_at = now + PLACE_DELAY_S
+            self._place_at = now + PLACE_INTERVAL_S
             self._place_slots(now)
 
-    def _even_leads(self) -> None:
-        """Hand one slot to a standby that leads clearly fewer.
+    def _balance_primaries(self) -> None:
+        """Hand one slot over to a standby that is primary of clearly fewer slots.
 
-        After a takeover one process leads all that its partner led; without this it
-        would go on doing the work of two while the replacement only copies.
+        After a takeover one process is primary of all slots of its partner. Without
+        this it would keep doing the work of two, while the replacement is only a
+        standby.
         """
         open_slots = self._slots.open_slots()
         for number in open_slots:
             replica = self._slots.replica(number)
-            theirs = self._peers.primary_count_of(replica.peer)
-            if replica.learner != NO_MEMBER or theirs is None:
+            peer_count = self._peers.primary_count_of(replica.peer)
+            if replica.learner != NO_MEMBER or peer_count is None:
                 continue
-            if theirs + LEAD_GAP <= len(open_slots):
+            if peer_count + MIN_PRIMARY_GAP <= len(open_slots):
                 self._slots.hand_over(number)
                 return
 
-    def _even_copies(self, now: float) -> None:
-        """Move copies to a process that holds clearly fewer than their standby.
+    def _balance_replicas(self, now: float) -> None:
+        """Move replicas to a process that has clearly fewer than their standby.
 
-        Processes that came after the slots were placed would otherwise stay empty.
+        Processes that joined after the slots were placed would otherwise remain empty.
         """
         member = self._peers.sample_peer(now)
-        theirs = self._peers.replica_count_of(member)
-        if theirs is None or not self._peers.is_in_other_domain(member):
+        peer_count = self._peers.replica_count_of(member)
+        if peer_count is None or not self._peers.is_in_other_domain(member):
             return
         for number in self._slots.open_slots():
             replica = self._slots.replica(number)
             if replica.learner != NO_MEMBER or replica.peer in (NO_MEMBER, member):
                 continue
-            standby = self._peers.replica_count_of(replica.peer)
-            if standby is not None and theirs + HOLD_GAP <= standby:
+            standby_count = self._peers.replica_count_of(replica.peer)
+            if (
+                standby_count is not None
+                and peer_count + MIN_REPLICA_GAP <= standby_count
+            ):
                 self._slots.copy_to(number, member, now)
-                theirs += HOLD_GAP
+                peer_count += MIN_REPLICA_GAP
 
     def _place_slots(self, now: float) -> None:
-        """Place slots that have no row, or whose members are all gone.
+        """Place slots that have no row, or with all members down.
 
-        One process, the first by rendezvous hash among those listed, proposes; the
-        compare-and-swap settles it if two believe they are first.
+        One process proposes, the first of the listed ones by rendezvous hash. If two
+        processes both consider themselves first, the compare-and-swap decides.
         """
         sides = self._peers.sides()
         addresses = [i.address for i in sides]
-        own = address_of(self._me)
-        if own not in addresses or rendezvous_order("place", addresses)[0] != own:
+        own_address = address_of(self._me)
+        if (
+            own_address not in addresses
+            or rendezvous_order("place", addresses)[0] != own_address
+        ):
             return
-        if addresses != self._listed:
-            # A fleet that is starting: what is placed now would have to move again.
-            self._listed = addresses
-            self._listed_at = now
-        if now - self._listed_at < PLACE_QUIET_S:
+        if addresses != self._listed_addresses:
+            # The processes are still starting. Slots placed now would have to move
+            # again.
+            self._listed_addresses = addresses
+            self._listed_since = now
+        if now - self._listed_since < LIST_STABLE_S:
             return
-        wanted = [n for n in range(self._placement.slots) if self._unplaced(n, now)]
-        if not wanted:
-            self._place_since = 0.0
+        unplaced = [
+            n for n in range(self._placement.slots) if self._needs_placement(n, now)
+        ]
+        if not unplaced:
+            self._unplaced_since = 0.0
             return
-        self._place_since = self._place_since or now
+        self._unplaced_since = self._unplaced_since or now
         domains = {self._peers.member_at(i.address, now): i.domain for i in sides}
         domains.pop("", None)
-        domains[self._me] = next(i.domain for i in sides if i.address == own)
-        if len(domains) < len(sides) and now - self._place_since < PLACE_PATIENCE_S:
+        domains[self._me] = next(i.domain for i in sides if i.address == own_address)
+        if len(domains) < len(sides) and now - self._unplaced_since < MAX_MEMBER_WAIT_S:
             return
-        for number in wanted:
+        for number in unplaced:
             self._place(number, self._placement.rows.get(number), domains)
 
-    def _unplaced(self, number: int, now: float) -> bool:
-        """Whether a slot has no members left.
+    def _needs_placement(self, number: int, now: float) -> bool:
+        """Return whether a slot has no members left.
 
-        Being silent is no evidence: a region that is cut off keeps serving.  Only the
-        instance list, or a new incarnation at the address, shows that one is gone.
+        An unresponsive member is not proof of failure, as a partitioned region
+        continues to serve. Only the instance list or a new incarnation at the same
+        address proves that a member is down.
         """
         row = self._placement.rows.get(number)
         if row is None:
             return True
         members = (row.primary, row.standby, row.former)
         if not all(self._peers.is_confirmed_down(m) for m in members if m != NO_MEMBER):
-            self._lost_since.pop(number, None)
+            self._all_down_since.pop(number, None)
             return False
-        return now - self._lost_since.setdefault(number, now) > LOST_S
+        return now - self._all_down_since.setdefault(number, now) > ALL_DOWN_S
 
     def _place(self, number: int, row: SlotRow | None, domains: dict[str, str]) -> None:
         ranked = rendezvous_order(f"slot {number}", domains)
--- a/wisteriastair/core/dispatch.py
+++ b/wisteriastair/core/dispatch.py
@@ -1,7 +1,7 @@
-"""From a step of a program to a call at a gate.
+"""Dispatch of a program's calls to gates.
 
-Knows which servers may take a call, what each is believed to have cached and how
-loaded it is, and leaves the choice to the router.
+Tracks which servers can take a call, what each probably has cached and how loaded it
+is. The router makes the choice.
 """
 
 from __future__ import annotations
@@ -15,19 +15,20 @@
 from .routing import Call, Candidate, Router
 from .wire import CallResult, ServerLoad
 
-LOAD_MAX_AGE_S: Final = 10.0
+MAX_LOAD_AGE_S: Final = 10.0
 PREFIX_CHARS: Final = 256
-PREFERRED: Final = 2
-SMOOTHING: Final = 0.2
-MIN_COMPARED: Final = 3
+PREFERRED_SERVERS: Final = 2
+SPEED_WEIGHT: Final = 0.2
+MIN_MEASURED_SERVERS: Final = 3
 SLOW_FACTOR: Final = 2.0
-# Prompt tokens that an engine computes in the time of one output token, roughly.
+# Approximate number of prompt tokens that an engine computes in the time of one output
+# token.
 PREFILL_PER_DECODE: Final = 200
 MAX_PREFIXES: Final = 4_096
 
 
 class CallTarget(NamedTuple):
-    """Where a call goes: a server and the gate incarnation before it."""
+    """Destination of a call: a server and the incarnation of its gate."""
 
     server: str
     gate: str
@@ -35,7 +36,7 @@
 
 
 class _ServerView:
-    """What is known of one server."""
+    """Known state of one server."""
 
     def __init__(self) -> None:
         self.load: ServerLoad | None = None
@@ -51,17 +52,17 @@
     Parameters
     ----------
     router : Router
-        The rule.
+        Routing policy.
     peers : Peers
-        For the gates' incarnations.
+        Source of the gates' incarnations.
     """
 
     def __init__(self, router: Router, peers: Peers) -> None:
         self._router = router
         self._peers = peers
         self._views: dict[str, _ServerView] = {}
-        self._shared: dict[tuple[int, str], int] = {}
-        self._shared_tokens: dict[str, int] = {}
+        self._prefix_tokens: dict[tuple[int, str], int] = {}
+        self._service_prefix_tokens: dict[str, int] = {}
         self._sequence = 0
 
     def choose_model_server(
@@ -72,7 +73,7 @@
         avoid_server: str,
         now: float,
     ) -> CallTarget | None:
-        """Choose a server for the next model call; None if there is none now."""
+        """Choose a server for the next model call; None if none is available."""
         for model in service.models:
             servers = self._servers(config, "model", model, avoid_server, now)
             if servers:
@@ -87,7 +88,7 @@
         avoid_server: str,
         now: float,
     ) -> CallTarget | None:
-        """Choose a plain server for a tool call."""
+        """Choose a plain server for a tool call; None if none is available."""
         servers = self._servers(config, "plain", provider, avoid_server, now)
         if not servers:
             return None
@@ -95,17 +96,17 @@
         return self._choose(program, service, provider, servers, now)
 
     def serves_any(self, service: Service, config: Config) -> bool:
-        """Whether any active server serves the service."""
+        """Return whether any active server serves the service."""
         return any(
             server.state == "active" and set(server.serves) & set(service.models)
             for server in config.servers.values()
         )
 
     def expected_wait_s(self, service: Service, config: Config, now: float) -> float:
-        """Seconds that a new program's first call would wait at the best server.
+        """Predict the wait of a new program's first call at the best server.
 
-        0 if nothing recent is known: a carrier that has heard of no queue must not
-        refuse because of one.
+        The result is in seconds, and 0 without recent reports: a primary that knows of
+        no queue must not reject a program because of one.
         """
         waits = []
         for server in config.servers.values():
@@ -113,35 +114,35 @@
                 continue
             if not set(server.serves) & set(service.models):
                 continue
-            waits.append(self._router.wait_s(self._load_of(server.name, now)))
+            waits.append(self._router.wait_s(self._candidate_load(server.name, now)))
         return min(waits, default=0.0)
 
-    def _load_of(self, server: str, now: float) -> Candidate:
+    def _candidate_load(self, server: str, now: float) -> Candidate:
         view = self._views.setdefault(server, _ServerView())
-        fresh = now - view.load_at <= LOAD_MAX_AGE_S
-        load = view.load if fresh else None
-        extra_s = self._extra_s(view) if fresh else 0.0
+        is_fresh = now - view.load_at <= MAX_LOAD_AGE_S
+        load = view.load if is_fresh else None
+        extra_s = self._extra_s(view) if is_fresh else 0.0
         return Candidate(server, 0, load, view.sent_since, extra_s)
 
     def _extra_s(self, view: _ServerView) -> float:
-        """Seconds by which a server has lately been slower than the middle one.
+        """Return by how many seconds a server was recently slower than the median.
 
-        A server that answers slowly need not have a long queue.  The penalty ends
-        when its last report is old, so that it is tried again now and then.
+        A slow server need not have a long queue. The penalty ends when its last report
+        expires, so that the server is tried again from time to time.
         """
-        known = sorted(v.token_s for v in self._views.values() if v.token_s > 0)
-        if len(known) < MIN_COMPARED or view.token_s <= 0:
+        token_times_s = sorted(v.token_s for v in self._views.values() if v.token_s > 0)
+        if len(token_times_s) < MIN_MEASURED_SERVERS or view.token_s <= 0:
             return 0.0
-        middle = known[len(known) // 2]
-        if view.token_s < SLOW_FACTOR * middle:
+        median_token_s = token_times_s[len(token_times_s) // 2]
+        if view.token_s < SLOW_FACTOR * median_token_s:
             return 0.0
-        return view.call_s * (1.0 - middle / view.token_s)
+        return view.call_s * (1.0 - median_token_s / view.token_s)
 
     def _servers(
         self, config: Config, kind: str, target: str, avoid_server: str, now: float
     ) -> dict[str, str]:
-        """Active servers of a kind with the member id of their gate."""
-        found: dict[str, str] = {}
+        """Return active servers of a kind with the member ids of their gates."""
+        gates: dict[str, str] = {}
         for server in config.servers.values():
             if server.kind != kind or server.state != "active":
                 continue
@@ -154,10 +155,10 @@
             if not member or self._peers.is_unresponsive(member, now):
                 continue
             if not self._peers.is_draining(member):
-                found[server.name] = member
-        if len(found) > 1:
-            found.pop(avoid_server, None)
-        return found
+                gates[server.name] = member
+        if len(gates) > 1:
+            gates.pop(avoid_server, None)
+        return gates
 
     def _choose(
         self,
@@ -175,8 +176,8 @@
             service.waste_weight,
             self._sequence,
         )
-        preferred = rendezvous_order(f"prefix {_prefix_of(program)}", servers)[
-            :PREFERRED
+        preferred = rendezvous_order(f"prefix {_prefix_hash(program)}", servers)[
+            :PREFERRED_SERVERS
         ]
         candidates = [
             self._candidate(program, name, preferred, now) for name in sorted(servers)
@@ -190,58 +191,58 @@
     ) -> Candidate:
         """Describe a server to the router.
 
-        For a first call, what other programs with the same beginning had cached there
-        is the estimate; until this process has seen one, the servers that all
-        processes prefer for that beginning are taken to have it.
+        For a first call, the estimate is what other programs with the same prefix had
+        cached on the server. Until this process has seen such a program, the servers
+        that all processes prefer for the prefix are assumed to have it cached.
         """
-        candidate = self._load_of(server, now)
+        candidate = self._candidate_load(server, now)
         if program.context_tokens == 0:
-            cached = self._shared.get((_prefix_of(program), server))
+            cached = self._prefix_tokens.get((_prefix_hash(program), server))
             if cached is None and server in preferred:
-                cached = self._shared_tokens.get(program.start.service, 0)
+                cached = self._service_prefix_tokens.get(program.start.service, 0)
             return candidate._replace(cached_tokens=cached or 0)
         if server == program.last_server:
             return candidate._replace(cached_tokens=program.context_tokens)
         return candidate
 
     def record_result(self, program: Program, result: CallResult, now: float) -> None:
-        """Take a server's load and what it had cached from a result."""
+        """Record the load and the cached tokens that a result reports."""
         view = self._views.setdefault(result.server, _ServerView())
         view.load = result.load
         view.load_at = now
-        # The report was made when the call ended; calls sent since then that are
-        # still under way are in it, so counting them again would scare callers off.
+        # The report dates from the end of the call and includes later calls that are
+        # still running. Counting them again would overestimate the load.
         view.sent_since = 0
         if result.status == "ok" and program.call is not None:
-            _learn_speed(view, result, now - program.call.intended_at)
+            _record_speed(view, result, now - program.call.intended_at)
         if program.context_tokens == 0 and result.status == "ok":
-            self._learn_prefix(program, result)
+            self._record_prefix(program, result)
 
-    def _learn_prefix(self, program: Program, result: CallResult) -> None:
+    def _record_prefix(self, program: Program, result: CallResult) -> None:
         service = program.start.service
-        known = self._shared_tokens.get(service, 0)
-        self._shared_tokens[service] = max(known, result.cached_tokens)
-        # After this call the server has at least the shared beginning cached.
-        tokens = max(result.cached_tokens, self._shared_tokens[service])
-        key = (_prefix_of(program), result.server)
-        self._shared.pop(key, None)
-        self._shared[key] = tokens
-        if len(self._shared) > MAX_PREFIXES:
-            del self._shared[next(iter(self._shared))]
-
-
-def _learn_speed(view: _ServerView, result: CallResult, taken_s: float) -> None:
-    """Smooth the time of a call, whole and for each token that it computed."""
+        previous = self._service_prefix_tokens.get(service, 0)
+        self._service_prefix_tokens[service] = max(previous, result.cached_tokens)
+        # After this call the server has at least the shared prefix cached.
+        tokens = max(result.cached_tokens, self._service_prefix_tokens[service])
+        key = (_prefix_hash(program), result.server)
+        self._prefix_tokens.pop(key, None)
+        self._prefix_tokens[key] = tokens
+        if len(self._prefix_tokens) > MAX_PREFIXES:
+            del self._prefix_tokens[next(iter(self._prefix_tokens))]
+
+
+def _record_speed(view: _ServerView, result: CallResult, elapsed_s: float) -> None:
+    """Update the moving averages of the time per call and per computed token."""
     if result.completion_tokens == 0:
         return
     computed = result.prompt_tokens - result.cached_tokens
     work = result.completion_tokens + computed / PREFILL_PER_DECODE
-    token_s = taken_s / work
-    share = SMOOTHING if view.token_s > 0 else 1.0
-    view.token_s += share * (token_s - view.token_s)
-    view.call_s += share * (taken_s - view.call_s)
+    token_s = elapsed_s / work
+    weight = SPEED_WEIGHT if view.token_s > 0 else 1.0
+    view.token_s += weight * (token_s - view.token_s)
+    view.call_s += weight * (elapsed_s - view.call_s)
 
 
-def _prefix_of(program: Program) -> int:
-    """Tell programs that begin alike, and so share a cached prefix, by a hash."""
+def _prefix_hash(program: Program) -> int:
+    """Return a hash of the prompt's start; equal hashes share a cached prefix."""
     return hash64("prefix", program.start.prompt[:PREFIX_CHARS])
--- a/wisteriastair/core/placement.py
+++ b/wisteriastair/core/placement.py
@@ -1,15 +1,15 @@
 """The slot table: reading it, and changing it by compare-and-swap.
 
-The table is cut into segments, one key each.  A process gathers the rows it wants
-changed and writes all rows of a segment in one compare-and-swap, so the loss of a
-process that was a member of many slots costs the platform's service one read and one
-write per segment and surviving partner, and nothing at rest.
-
-A row is only ever proposed by a process that the present row names (or, for slots
-that are not placed or have lost all members, by one chosen process), and its epoch
-is the present one plus one.  A write whose answer was lost is never assumed: the
-segment is read back, and the row either carries this process's proposal or it does
-not.
+The table is split into segments, one key each. A process collects its proposed rows and
+writes all rows of a segment in one compare-and-swap. The loss of a process that was a
+member of many slots thus costs the platform's key-value service one read and one write
+per segment and surviving partner, and an idle system costs nothing.
+
+A row is only proposed by a process that the current row names (or, for slots that are
+not placed or have lost all members, by one chosen process), and its epoch is the
+current one plus one. A write whose response was lost is never assumed to have
+succeeded: the segment is read again, and the row either contains this process's
+proposal or does not.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
 
 SEGMENT_PREFIX: Final = "slots/"
 RETRY_S: Final = 0.05
-RETRY_MAX_S: Final = 2.0
+MAX_RETRY_S: Final = 2.0
 ANSWER_TIMEOUT_S: Final = 5.0
 
 _ROWS: Final = msgspec.msgpack.Decoder(list[SlotRow])
 
 
 def segment_key(slot: int, segments: int) -> str:
-    """Key of the segment that holds a slot's row."""
+    """Return the key of the segment that contains a slot's row."""
     return f"{SEGMENT_PREFIX}{slot % segments}"
 
 
@@ -50,19 +50,19 @@
 
 
 def decode_rows(value: bytes) -> dict[int, SlotRow]:
-    """Decode a segment; no bytes are an empty one."""
+    """Decode a segment; an empty value is an empty segment."""
     if not value:
         return {}
     return {row.slot: row for row in _ROWS.decode(value)}
 
 
 class _Segment:
-    """Proposals for one segment and the call to the service under way."""
+    """Proposals for one segment, and its pending call to the service."""
 
     def __init__(self) -> None:
-        self.wanted: dict[int, SlotRow] = {}
+        self.proposals: dict[int, SlotRow] = {}
         self.busy_until = 0.0
-        self.not_before = 0.0
+        self.retry_at = 0.0
         self.attempts = 0
 
 
@@ -86,49 +86,49 @@
         self._segments = {f"{SEGMENT_PREFIX}{n}": _Segment() for n in range(segments)}
 
     def owns(self, key: str) -> bool:
-        """Whether a key is a segment of the table."""
+        """Return whether a key is a segment of the table."""
         return key in self._segments
 
     def propose(self, row: SlotRow) -> None:
-        """Ask for a row; it is proposed until the table has a later epoch."""
+        """Propose a row until the table has a row with a later epoch."""
         key = segment_key(row.slot, self.segments)
-        self._segments[key].wanted[row.slot] = row
+        self._segments[key].proposals[row.slot] = row
 
     def withdraw(self, slot: int) -> None:
-        """Take a proposal back; a write of it already under way may still win."""
+        """Withdraw a proposal; a write of it that is in progress may still succeed."""
         segment = self._segments[segment_key(slot, self.segments)]
-        segment.wanted.pop(slot, None)
+        segment.proposals.pop(slot, None)
 
-    def settle(self, slot: int, epoch: int) -> None:
-        """Drop a proposal that the table has overtaken."""
+    def drop_superseded(self, slot: int, epoch: int) -> None:
+        """Remove a proposal that the table has superseded."""
         segment = self._segments[segment_key(slot, self.segments)]
-        row = segment.wanted.get(slot)
+        row = segment.proposals.get(slot)
         if row is not None and row.epoch <= epoch:
-            del segment.wanted[slot]
+            del segment.proposals[slot]
 
     def apply_segment(self, value: bytes) -> list[SlotRow]:
-        """Take a confirmed segment; rows newer than those known are returned."""
-        news = []
+        """Apply a confirmed segment; return the rows newer than the known ones."""
+        newer = []
         for slot, row in decode_rows(value).items():
             known = self.rows.get(slot)
             if known is None or row.epoch > known.epoch:
                 self.rows[slot] = row
-                self.settle(slot, row.epoch)
-                news.append(row)
-        return news
+                self.drop_superseded(slot, row.epoch)
+                newer.append(row)
+        return newer
 
     def tick(self, now: float) -> list[Effect]:
-        """Begin a read for every segment with something to propose."""
+        """Start a read for every segment with proposals."""
         effects: list[Effect] = []
         for key, segment in self._segments.items():
-            idle = now >= segment.busy_until and now >= segment.not_before
-            if segment.wanted and idle:
+            idle = now >= segment.busy_until and now >= segment.retry_at
+            if segment.proposals and idle:
                 segment.busy_until = now + ANSWER_TIMEOUT_S
                 effects.append(KvRead(key))
         return effects
 
     def on_kv_response(self, event: Event, now: float) -> list[Effect]:
-        """Go on after an answer of the key-value service."""
+        """Continue after a response of the key-value service."""
         match event:
             case KvValue(key, revision, value):
                 return self._swap(key, revision, value, now)
@@ -145,7 +145,7 @@
         segment = self._segments[key]
         rows = decode_rows(value)
         changed = False
-        for slot, row in segment.wanted.items():
+        for slot, row in segment.proposals.items():
             present = rows.get(slot)
             epoch = present.epoch if present is not None else 0
             if row.epoch == epoch + 1:
@@ -153,20 +153,20 @@
                 changed = True
         if not changed:
             segment.busy_until = 0.0
-            segment.not_before = now + RETRY_S
+            segment.retry_at = now + RETRY_S
             return []
         segment.busy_until = now + ANSWER_TIMEOUT_S
         return [KvSwap(key, revision, encode_rows(rows))]
 
     def _back_off(self, key: str, now: float) -> None:
-        """Wait longer after each failure, with jitter against herds.
+        """Increase the delay after each failure, with jitter.
 
-        Many processes propose at once when a failure domain goes.  Without jitter
-        they would collide again in every round.
+        Many processes propose at once when a failure domain fails. Without jitter they
+        would conflict again in every round.
         """
         segment = self._segments[key]
         segment.busy_until = 0.0
         segment.attempts += 1
-        delay = min(RETRY_MAX_S, RETRY_S * 2 ** min(segment.attempts, 10))
+        delay = min(MAX_RETRY_S, RETRY_S * 2 ** min(segment.attempts, 10))
         jitter = hash64(self._me, key, str(segment.attempts)) % 1000 / 1000
-        segment.not_before = now + delay * (0.5 + jitter)
+        segment.retry_at = now + delay * (0.5 + jitter)
--- a/wisteriastair/core/quota.py
+++ b/wisteriastair/core/quota.py
@@ -1,20 +1,20 @@
-"""Quotas of customers: how much they may ask of all relays together, and who says so.
-
-The load pattern: a customer's callers reach any relay, move between failure domains,
-and may send many times their usual.  Relays see only their own share of it.  So a
-request of a customer with a quota needs a permit, and the permits of a customer come
-from a few keepers, its holders, chosen alike by all by rendezvous hashing.  Each holder
-owns an equal part of the quota and gives permits out of a token bucket of its own, so
-that one lost holder takes only its part away and no two have to agree.
-
-A holder that restarts remembers nothing and begins with an empty bucket.  Over any span
-it has given out at most what one full bucket holds and what flows in meanwhile, restart
-or not, so a burst is not handed out twice.  A member that becomes a holder waits until
-the one before it has learned that it no longer is one, and then begins empty.
-
-Programs need many requests, and one refused near its end has cost all that ran before.
-So requests of programs under way come first: a new program is let in only while the
-quota carries the requests that programs have needed of late.
+"""Customer quotas: token buckets at a few keepers, the quota holders.
+
+Load pattern: the callers of a customer reach any relay, move between failure domains,
+and may send many times their usual load. Each relay sees only a part of it. A request
+of a customer with a quota therefore needs a permit from one of the customer's holders,
+which all processes determine by rendezvous hash. Each holder owns an equal part of the
+quota as a token bucket of its own. The loss of a holder thus costs only its part of the
+quota, and holders need no agreement.
+
+A holder restarts with an empty bucket, as it has no record of its permits. Over any
+time span it grants at most one full bucket plus the inflow, with or without a restart,
+so a burst is not granted twice. A new holder waits until its predecessor has learned of
+the change, and also starts with an empty bucket.
+
+A program needs many requests, and a request rejected near its end wastes all work done
+before. Requests of running programs therefore have precedence: a new program is
+admitted only while the quota covers the requests that recent programs have needed.
 """
 
 from __future__ import annotations
@@ -28,47 +28,50 @@
 from .hashing import hash64
 from .membership import Member, spread_over_domains
 
-# Holders of one customer: with one lost, two thirds of the quota are still there.
-HOLDERS: Final = 3
-# Longest time from a permit to the arrival of its request at a server, in seconds.
+# Maximum number of holders per customer. With one of three lost, two thirds of the
+# quota remain.
+MAX_HOLDERS: Final = 3
+# Longest time in seconds from a permit to the arrival of its request at a server.
 PERMIT_LIFETIME_S: Final = 0.3
-# Share of the tolerated excess that permits may use up.  The rest is for requests that
-# run on a second server, and for clocks that differ.
-TOLERANCE_USED: Final = 0.8
-# A permit is given ahead of time by at most this, in seconds; the relay waits for it.
-# A refused caller would take longer to come back.
+# Fraction of the tolerated excess that permits may use. The rest is for requests that
+# run on a second server, and for clock differences.
+TOLERANCE_FRACTION: Final = 0.8
+# A permit is granted at most this many seconds before it becomes valid, and the relay
+# waits until then. A rejected caller would take longer to come back.
 MAX_ADVANCE_S: Final = 0.5
-# A new holder waits this long, in seconds: more than its predecessor takes to hear of
-# the new list, or to notice that it hears most members no more.
+# Wait of a new holder in seconds. It exceeds the time in which its predecessor receives
+# the new member list, or notices that it has lost contact to most members.
 HANDOVER_S: Final = 2.5
-# A member that was no holder for this long, in seconds, was not replaced: less than
-# `HANDOVER_S` by more than lists take to get to all members, twice.
-SHORT_GAP_S: Final = 1.0
-# Lists of members that are remembered, to tell since when this one is a holder.
-MOST_LISTS: Final = 16
-# A program that has asked for nothing for this long counts as ended, in seconds.
-IDLE_S: Final = 6.0
-# Requests that a program of a kind not met before is taken to need.
-FIRST_NEED: Final = 12.0
-# Weight of a newly ended program in what its kind is taken to need.
-NEED_GAIN: Final = 0.1
-# Kinds of programs that are told apart.
-MOST_KINDS: Final = 256
-# Programs remembered by one customer; the least recently seen yield.
-MOST_PROGRAMS: Final = 4096
+# Longest absence of a holder, in seconds, during which no other member can have
+# replaced it. It is shorter than `HANDOVER_S` by more than twice the time in which
+# lists reach all members.
+MAX_GAP_S: Final = 1.0
+# Maximum number of stored member lists, from which the start of a holder's term is
+# found.
+MAX_MEMBER_LISTS: Final = 16
+# Seconds without a request after which a program counts as ended.
+PROGRAM_IDLE_S: Final = 6.0
+# Requests that a program of an unknown kind is expected to need.
+INITIAL_ESTIMATE: Final = 12.0
+# Weight of an ended program in the moving average of its kind.
+ESTIMATE_WEIGHT: Final = 0.1
+# Maximum number of program kinds with an estimate of their own.
+MAX_KINDS: Final = 256
+# Maximum number of programs stored per customer; the least recently seen are evicted.
+MAX_PROGRAMS: Final = 4096
 
 
 class QuotaBounds(NamedTuple):
-    """How the operators judge quotas.
+    """Criteria by which the operators judge quotas.
 
     Attributes
     ----------
     window_s : float
-        Length of the spans that count.
+        Length of the measured time windows in seconds.
     excess_fraction : float
-        Share by which a span may exceed the quota.
+        Fraction by which a window may exceed the quota.
     slack_requests : float
-        Requests by which it may exceed it besides.
+        Number of requests by which it may exceed the quota in addition.
     """
 
     window_s: float = 1.0
@@ -77,7 +80,7 @@
 
 
 class HolderQuota(NamedTuple):
-    """What the holders of a customer may give out.
+    """Part of a customer's quota that each of its holders may grant.
 
     Attributes
     ----------
@@ -93,24 +96,25 @@
 
 
 class PermitStatus(IntEnum):
-    """How a holder answers."""
+    """Outcome of a permit request."""
 
     GRANTED = 0
-    # The quota, or what programs under way need of it, is used up.
+    # The quota is used up, or reserved for running programs.
     EXHAUSTED = 1
-    # This process is no holder of the customer, or cannot know whether it is.
+    # This process is not a holder of the customer's quota, or cannot be sure that it
+    # is.
     NOT_HOLDER = 2
 
 
 class Permit(NamedTuple):
-    """A holder's answer.
+    """Response of a holder to a permit request.
 
     Attributes
     ----------
     wait_s : float
-        Seconds until the permit counts, or until it is worth asking again.
+        Seconds until the permit is valid, or until a retry is useful.
     is_program_refused : bool
-        Whether the program may not begin, however soon its first request could run.
+        Whether a new program is rejected, however soon its first request could run.
     """
 
     answer: PermitStatus
@@ -120,19 +124,18 @@
 
 @lru_cache(maxsize=4096)
 def holder_quota(quota: Quota, bounds: QuotaBounds) -> HolderQuota:
-    """Work out the parts of a customer's holders.
+    """Derive the token bucket of each holder from a customer's quota.
 
-    What arrives in a window was permitted in a span longer by `PERMIT_LIFETIME_S`.  A
-    bucket gives
-    out its depth and what flows in, so the depth is what the window may hold less the
-    inflow of that span; the parts of all holders add up to it.
+    Requests that arrive in a window got their permits in a span longer by
+    `PERMIT_LIFETIME_S`. A bucket grants its depth plus the inflow, so the total depth
+    is the window's limit less the inflow of that span, divided among the holders.
     """
     rate, burst = quota
     allowed = rate * bounds.window_s + burst
     tolerated = allowed * bounds.excess_fraction + bounds.slack_requests
     inflow = rate * (bounds.window_s + PERMIT_LIFETIME_S)
-    depth = max(1.0, allowed + TOLERANCE_USED * tolerated - inflow)
-    holders = max(1, min(HOLDERS, int(depth)))
+    depth = max(1.0, allowed + TOLERANCE_FRACTION * tolerated - inflow)
+    holders = max(1, min(MAX_HOLDERS, int(depth)))
     return HolderQuota(rate / holders, depth / holders, holders)
 
 
@@ -140,7 +143,7 @@
 def quota_holders(
     members: tuple[Member, ...], customer: str, count: int
 ) -> tuple[Member, ...]:
-    """Choose a customer's holders, in different failure domains where there are any."""
+    """Choose a customer's holders, spread over failure domains if possible."""
     order = sorted(
         members, key=lambda m: hash64("quota", customer, m.name), reverse=True
     )
@@ -148,117 +151,122 @@
 
 
 def query_order(holders: tuple[Member, ...], program: str) -> list[Member]:
-    """Order in which holders are asked for a program's permits.
+    """Return the order in which holders are asked for a program's permits.
 
-    Every relay begins with the same one, which then knows the program.
+    All relays start with the same holder, which therefore knows the program.
     """
     return sorted(holders, key=lambda m: hash64("permit", program, m.name))
 
 
 class _Bucket:
-    """A token bucket; what it lacks is negative."""
+    """A token bucket; a negative level is a deficit."""
 
     def __init__(self, level: float, now: float) -> None:
         self.level = level
         self._at = now
 
-    def fill(self, rate_per_s: float, depth: float, now: float) -> None:
-        """Let in what has come since the last call."""
-        flowed = rate_per_s * max(0.0, now - self._at)
-        self.level = min(depth, self.level + flowed)
+    def refill(self, rate_per_s: float, depth: float, now: float) -> None:
+        """Add the inflow since the last call."""
+        added = rate_per_s * max(0.0, now - self._at)
+        self.level = min(depth, self.level + added)
         self._at = max(self._at, now)
 
 
-class _Program(NamedTuple):
-    """A program that was let in: its requests, and those that were set aside for it."""
+class _ProgramUsage(NamedTuple):
+    """An admitted program, with its granted and its reserved requests."""
 
     kind: str
     requests: int
     reserved: float
-    seen: float
+    last_seen_at: float
 
 
-class _Needs:
-    """How many requests programs of each kind have needed of late."""
+class _RequestEstimates:
+    """Moving average of the requests that programs of each kind need."""
 
     def __init__(self) -> None:
         self._means: dict[str, float] = {}
 
-    def of(self, kind: str) -> float:
-        """Return what a program of a kind needs; the kinds are few."""
-        return self._means.get(kind, FIRST_NEED)
+    def estimate(self, kind: str) -> float:
+        """Return the expected requests of a program of this kind."""
+        return self._means.get(kind, INITIAL_ESTIMATE)
 
-    def learn(self, kind: str, requests: int) -> None:
-        """Take what an ended program has needed."""
-        if not kind or (kind not in self._means and len(self._means) >= MOST_KINDS):
+    def add_sample(self, kind: str, requests: int) -> None:
+        """Add the number of requests of an ended program."""
+        if not kind or (kind not in self._means and len(self._means) >= MAX_KINDS):
             return
-        mean = self.of(kind)
-        self._means[kind] = mean + NEED_GAIN * (requests - mean)
+        mean = self.estimate(kind)
+        self._means[kind] = mean + ESTIMATE_WEIGHT * (requests - mean)
 
 
-class _Account:
-    """A customer at one of its holders."""
+class _CustomerAccount:
+    """State of a customer at one of its holders."""
 
-    def __init__(self, share: HolderQuota, since: float, now: float) -> None:
-        held_s = max(0.0, now - since)
-        self.created = since
+    def __init__(self, bucket: HolderQuota, held_from: float, now: float) -> None:
+        held_s = max(0.0, now - held_from)
+        self.held_from = held_from
         self.list_number = -1
-        self.permits = _Bucket(min(share.depth, share.rate_per_s * held_s), now)
-        self.starts = _Bucket(self.permits.level, now)
-        # By program, the one seen last at the end.
-        self.programs: OrderedDict[str, _Program] = OrderedDict()
+        self.permits = _Bucket(min(bucket.depth, bucket.rate_per_s * held_s), now)
+        self.admissions = _Bucket(self.permits.level, now)
+        # Ordered by last request, most recent last.
+        self.programs: OrderedDict[str, _ProgramUsage] = OrderedDict()
 
-    def hold_anew(self, share: HolderQuota, since: float, now: float) -> None:
-        """Begin again after a gap in which others may have given permits.
+    def resume(self, bucket: HolderQuota, held_from: float, now: float) -> None:
+        """Start a new term after a gap in which others may have granted permits.
 
-        What was given before it still counts: a list that changes many times in a
-        second would otherwise fill the bucket each time.
+        Permits granted before the gap still count. Otherwise a member list that changes
+        many times per second would fill the bucket each time.
         """
-        self.created = since
-        self.permits.fill(share.rate_per_s, share.depth, now)
-        held_s = max(0.0, now - since)
-        self.permits.level = min(self.permits.level, share.rate_per_s * held_s)
-
-    def begin(self, program: str, kind: str, need: float, now: float) -> None:
-        """Note a program that is let in, and set aside what it will need."""
-        self.starts.level -= need
-        self.programs[program] = _Program(kind, 0, need, now)
-
-    def note(self, program: str, now: float) -> None:
-        """Note a permitted request of a program."""
-        known = self.programs.pop(program, _Program("", 0, 0.0, now))
+        self.held_from = held_from
+        self.permits.refill(bucket.rate_per_s, bucket.depth, now)
+        held_s = max(0.0, now - held_from)
+        self.permits.level = min(self.permits.level, bucket.rate_per_s * held_s)
+
+    def admit_program(
+        self, program: str, kind: str, expected_requests: float, now: float
+    ) -> None:
+        """Add an admitted program and reserve its expected requests."""
+        self.admissions.level -= expected_requests
+        self.programs[program] = _ProgramUsage(kind, 0, expected_requests, now)
+
+    def record_request(self, program: str, now: float) -> None:
+        """Record a permitted request of a program."""
+        known = self.programs.pop(program, _ProgramUsage("", 0, 0.0, now))
         count = known.requests + 1
-        # One that needs more than was set aside leaves less for the next.
-        lacking = max(0.0, count - known.reserved) if known.kind else 0.0
-        self.starts.level -= lacking
-        reserved = known.reserved + lacking
-        self.programs[program] = _Program(known.kind, count, reserved, now)
-
-    def forget(self, needs: _Needs, now: float) -> None:
-        """Give back what ended programs have not needed, and learn from them."""
+        # Requests beyond the reservation reduce the capacity for new programs.
+        shortfall = max(0.0, count - known.reserved) if known.kind else 0.0
+        self.admissions.level -= shortfall
+        reserved = known.reserved + shortfall
+        self.programs[program] = _ProgramUsage(known.kind, count, reserved, now)
+
+    def expire_programs(self, estimates: _RequestEstimates, now: float) -> None:
+        """Remove ended programs, release unused reservations, update the estimates."""
         while self.programs:
             name, oldest = next(iter(self.programs.items()))
-            if now - oldest.seen <= IDLE_S and len(self.programs) <= MOST_PROGRAMS:
+            if (
+                now - oldest.last_seen_at <= PROGRAM_IDLE_S
+                and len(self.programs) <= MAX_PROGRAMS
+            ):
                 return
             del self.programs[name]
-            needs.learn(oldest.kind, oldest.requests)
+            estimates.add_sample(oldest.kind, oldest.requests)
             if oldest.kind:
-                self.starts.level += oldest.reserved - oldest.requests
+                self.admissions.level += oldest.reserved - oldest.requests
 
 
 class QuotaHolder:
-    """Gives permits for the customers whose holder this member is.
+    """Grants permits for the customers whose quota holder this member is.
 
     Parameters
     ----------
     me : Member
         This process.
     bounds : QuotaBounds
-        How quotas are judged.
+        Criteria by which quotas are judged.
     members : tuple of Member
-        The list of members when the process began.
+        Member list at the start of the process.
     now : float
-        Seconds of a clock that never goes back.
+        Time of a monotonic clock in seconds.
     """
 
     def __init__(
@@ -267,118 +275,123 @@
         self._me = me
         self._bounds = bounds
         self._customers: dict[str, Customer] = {}
-        self._accounts: dict[str, _Account] = {}
-        self._needs = _Needs()
-        # Lists of members and since when each is known, the newest last.  The first was
-        # in force when the process before this one, if any, had already ended.
-        self._lists = [(members, now)]
+        self._accounts: dict[str, _CustomerAccount] = {}
+        self._estimates = _RequestEstimates()
+        # Member lists with the time at which each became known, newest last. When the
+        # first one took effect, any previous process of this member had already ended.
+        self._member_lists = [(members, now)]
         self._list_number = 0
-        # When the number of a customer's holders changed.
-        self._redivided: dict[str, float] = {}
+        # Time until which a changed number of a customer's holders delays this holder's
+        # term.
+        self._handover_until: dict[str, float] = {}
 
     def configure(self, customers: dict[str, Customer], now: float) -> None:
-        """Take the customers of a newer configuration."""
+        """Apply the customers of a newer configuration."""
         for name, customer in customers.items():
             before = self._customers.get(name)
             if before is None or before.quota is None or customer.quota is None:
                 continue
             if before.quota == customer.quota:
                 continue
-            shares = [holder_quota(c.quota, self._bounds) for c in (before, customer)]
-            if shares[0].holders != shares[1].holders:
-                # One that comes in must not give out again what the others have.
-                self._redivided[name] = now + HANDOVER_S
+            buckets = [holder_quota(c.quota, self._bounds) for c in (before, customer)]
+            if buckets[0].holders != buckets[1].holders:
+                # An added holder must not grant again what the others have granted.
+                self._handover_until[name] = now + HANDOVER_S
                 self._list_number += 1
         self._customers = customers
         for name in self._accounts.keys() - customers.keys():
             del self._accounts[name]
 
     def update_members(self, members: tuple[Member, ...], now: float) -> None:
-        """Take a newer list of members."""
-        if members == self._lists[-1][0]:
+        """Apply a newer member list."""
+        if members == self._member_lists[-1][0]:
             return
-        self._lists.append((members, now))
-        del self._lists[:-MOST_LISTS]
+        self._member_lists.append((members, now))
+        del self._member_lists[:-MAX_MEMBER_LISTS]
         self._list_number += 1
 
     def ask(
         self, customer: str, program: str, kind: str, allow_delayed: bool, now: float
     ) -> Permit:
-        """Give a permit for one request, or not.
+        """Grant or reject a permit for one request.
 
         Parameters
         ----------
         program : str
-            What the request belongs to; empty for a request by itself.
+            Program of the request; empty for a single request.
         kind : str
             Kind of the program if this may be its first request; else empty.
         allow_delayed : bool
-            Whether a permit that counts a little later will do.
+            Whether a permit that becomes valid a little later is accepted.
         """
         known = self._customers.get(customer)
         if known is None:
             return Permit(PermitStatus.NOT_HOLDER)
         if known.quota is None:
             return Permit(PermitStatus.GRANTED)
-        share = holder_quota(known.quota, self._bounds)
-        account = self._account(customer, share, now)
+        bucket = holder_quota(known.quota, self._bounds)
+        account = self._account(customer, bucket, now)
         if account is None:
             return Permit(PermitStatus.NOT_HOLDER)
-        account.permits.fill(share.rate_per_s, share.depth, now)
-        account.starts.fill(share.rate_per_s, share.depth, now)
-        account.forget(self._needs, now)
-        # One that has just begun to hold cannot tell new programs from those under way.
-        tells = now - account.created > IDLE_S
-        begins = tells and bool(kind) and program not in account.programs
-        if (begins or not program) and account.starts.level <= 0:
+        account.permits.refill(bucket.rate_per_s, bucket.depth, now)
+        account.admissions.refill(bucket.rate_per_s, bucket.depth, now)
+        account.expire_programs(self._estimates, now)
+        # A new holder cannot tell new programs from running ones.
+        knows_programs = now - account.held_from > PROGRAM_IDLE_S
+        is_new = knows_programs and bool(kind) and program not in account.programs
+        if (is_new or not program) and account.admissions.level <= 0:
             return Permit(
-                PermitStatus.EXHAUSTED, -account.starts.level / share.rate_per_s, True
+                PermitStatus.EXHAUSTED,
+                -account.admissions.level / bucket.rate_per_s,
+                True,
             )
-        wait_s = max(0.0, 1.0 - account.permits.level) / share.rate_per_s
+        wait_s = max(0.0, 1.0 - account.permits.level) / bucket.rate_per_s
         if wait_s > (MAX_ADVANCE_S if allow_delayed else 0.0):
             return Permit(PermitStatus.EXHAUSTED, wait_s)
         account.permits.level -= 1.0
-        if begins:
-            account.begin(program, kind, self._needs.of(kind), now)
+        if is_new:
+            account.admit_program(program, kind, self._estimates.estimate(kind), now)
         if program:
-            account.note(program, now)
+            account.record_request(program, now)
         else:
-            account.starts.level -= 1.0
+            account.admissions.level -= 1.0
         return Permit(PermitStatus.GRANTED, wait_s)
 
     def _account(
-        self, customer: str, share: HolderQuota, now: float
-    ) -> _Account | None:
-        """Return the account of a customer; None if this is no holder, or not yet."""
+        self, customer: str, bucket: HolderQuota, now: float
+    ) -> _CustomerAccount | None:
+        """Return the account of a customer; None if this is not (yet) a holder."""
         account = self._accounts.get(customer)
         if account is not None and account.list_number == self._list_number:
             return account
-        since = self._held_since(customer, share.holders)
-        if since is None or since > now:
+        held_from = self._held_since(customer, bucket.holders)
+        if held_from is None or held_from > now:
             return None
         if account is None:
-            account = self._accounts[customer] = _Account(share, since, now)
-        elif since > account.created:
-            account.hold_anew(share, since, now)
+            account = self._accounts[customer] = _CustomerAccount(
+                bucket, held_from, now
+            )
+        elif held_from > account.held_from:
+            account.resume(bucket, held_from, now)
         account.list_number = self._list_number
         return account
 
     def _held_since(self, customer: str, count: int) -> float | None:
-        """Return since when this member may act as a holder, without a gap.
+        """Return the start of this member's current term as a holder, or None.
 
-        A gap that was too short for anybody to act in its place is none: when several
-        members fall out of the list and come back one by one, all holders of a customer
+        A gap too short for another member to act as a holder is ignored. If several
+        members drop out of the list and come back one by one, all holders of a customer
         would otherwise wait for each other.
         """
-        held: float | None = None
-        back_at = 0.0
-        for place in reversed(range(len(self._lists))):
-            members, known_at = self._lists[place]
+        held_from: float | None = None
+        resumed_at = 0.0
+        for index in reversed(range(len(self._member_lists))):
+            members, known_at = self._member_lists[index]
             if self._me in quota_holders(members, customer, count):
-                held = known_at + (HANDOVER_S if place else 0.0)
-                back_at = known_at
-            elif held is None or back_at - known_at > SHORT_GAP_S:
+                held_from = known_at + (HANDOVER_S if index else 0.0)
+                resumed_at = known_at
+            elif held_from is None or resumed_at - known_at > MAX_GAP_S:
                 break
-        if held is None:
+        if held_from is None:
             return None
-        return max(held, self._redivided.get(customer, held))
+        return max(held_from, self._handover_until.get(customer, held_from))
--- a/wisteriastair/core/storetimes.py
+++ b/wisteriastair/core/storetimes.py
@@ -1,46 +1,49 @@
-"""How long calls of the platform's store may take, and the pauses between them.
+"""Timeouts of calls to the platform's store, and the retry backoff.
 
-A call that is sent while the store is silent is never answered, also after the store is
-back.  The process that sent it looks again only when the call's own time is over and
-the pause after it too.  Both together are therefore kept within the time after which a
-process that can reach the store again has to know what the store holds.
+A call sent while the store is unreachable is never answered, even after the store is
+back. The process retries only after the call's timeout and the backoff. The sum of both
+is therefore kept below the time within which a process that can reach the store again
+must have read it.
 """
 
 from __future__ import annotations
 
 from typing import Final, NamedTuple
 
-# What is left of that time for a new connection and for reading everything, in seconds.
-MARGIN_S: Final = 0.5
-# Pause after a first failed call, and the longest one, in seconds.
-PAUSE_S: Final = 0.25
-PAUSE_MAX_S: Final = 1.0
-PAUSE_SHARE: Final = 0.4
-# A slow store answers after some hundred milliseconds: a call gets this time at least
-# and at most, in seconds.
-LEAST_CALL_S: Final = 1.0
-MOST_CALL_S: Final = 2.5
-# How much later than it was to wait a watch is answered at the most, in seconds.
-SLACK_S: Final = 0.8
-LEAST_WATCH_S: Final = 0.2
-MOST_WATCH_S: Final = 2.0
+# Part of the contact time that is left for a new connection and for reading everything,
+# in seconds.
+READ_MARGIN_S: Final = 0.5
+# Backoff after a first failed call and its maximum, in seconds. The maximum is also
+# limited to a fraction of the contact time without the margin.
+BACKOFF_S: Final = 0.25
+MAX_BACKOFF_S: Final = 1.0
+MAX_BACKOFF_FRACTION: Final = 0.4
+# Bounds of a call's timeout, in seconds. A slow store answers after some hundred
+# milliseconds.
+MIN_CALL_S: Final = 1.0
+MAX_CALL_S: Final = 2.5
+# Time after the end of its wait within which a watch must be answered, and the bounds
+# of the wait, in seconds.
+WATCH_GRACE_S: Final = 0.8
+MIN_WATCH_S: Final = 0.2
+MAX_WATCH_S: Final = 2.0
 
 
 class StoreTimeouts(NamedTuple):
-    """Limits of calls and pauses, in seconds.
+    """Timeouts, waits and backoff in seconds.
 
     Attributes
     ----------
     call_timeout_s : float
-        How long any call but a watch may go unanswered.
+        Timeout of any call except a watch.
     watch_wait_s : float
-        How long a watch waits when the call before it was answered.
+        Wait of a watch after a successful call.
     retry_watch_wait_s : float
-        How long a watch waits after a call that failed.
+        Wait of a watch after a failed call.
     watch_grace_s : float
-        How much later than it was to wait a watch is given up.
+        Time after its wait at which a watch times out.
     backoff_s, max_backoff_s : float
-        The pause after a first failed call; it doubles up to the second one.
+        Backoff after a first failed call; it doubles up to the maximum.
     """
 
     call_timeout_s: float
@@ -52,30 +55,30 @@
 
 
 def make_store_timeouts(contact_s: float) -> StoreTimeouts:
-    """Derive the limits from the time that a process has to find the store again.
+    """Derive the timeouts from the contact time.
 
     Parameters
     ----------
     contact_s : float
-        Seconds after the store's return within which a process must know what it holds.
+        Seconds after the store's return within which a process must have read it.
     """
-    patience_s = max(LEAST_CALL_S, contact_s - MARGIN_S)
-    max_backoff_s = min(PAUSE_MAX_S, PAUSE_SHARE * patience_s)
-    backoff_s = min(PAUSE_S, max_backoff_s)
-    call_timeout_s = patience_s - max_backoff_s
+    budget_s = max(MIN_CALL_S, contact_s - READ_MARGIN_S)
+    max_backoff_s = min(MAX_BACKOFF_S, MAX_BACKOFF_FRACTION * budget_s)
+    backoff_s = min(BACKOFF_S, max_backoff_s)
+    call_timeout_s = budget_s - max_backoff_s
     return StoreTimeouts(
-        call_timeout_s=_within(call_timeout_s, LEAST_CALL_S, MOST_CALL_S),
-        watch_wait_s=_watch(patience_s - backoff_s),
-        retry_watch_wait_s=_watch(call_timeout_s),
-        watch_grace_s=SLACK_S,
+        call_timeout_s=_clamp(call_timeout_s, MIN_CALL_S, MAX_CALL_S),
+        watch_wait_s=_watch_wait_s(budget_s - backoff_s),
+        retry_watch_wait_s=_watch_wait_s(call_timeout_s),
+        watch_grace_s=WATCH_GRACE_S,
         backoff_s=backoff_s,
         max_backoff_s=max_backoff_s,
     )
 
 
-def _watch(limit_s: float) -> float:
-    return _within(limit_s - SLACK_S, LEAST_WATCH_S, MOST_WATCH_S)
+def _watch_wait_s(limit_s: float) -> float:
+    return _clamp(limit_s - WATCH_GRACE_S, MIN_WATCH_S, MAX_WATCH_S)
 
 
-def _within(value: float, least: float, most: float) -> float:
-    return max(least, min(most, value))
+def _clamp(value: float, low: float, high: float) -> float:
+    return max(low, min(high, value))
