--- a/tests/relay/keepers.py
+++ b/tests/relay/keepers.py
@@ -1,4 +1,4 @@
-"""Keepers in memory: the shipped cores, joined to a client without sockets or disks."""
+"""In-memory keepers: production cores and a client, without sockets or disks."""
 
 from __future__ import annotations
 
@@ -28,7 +28,13 @@
 
 
 class Keepers:
-    """Some keepers and the wires between them and one client."""
+    """Keepers and the network between them and one client.
+
+    Attributes
+    ----------
+    unreachable : set of str
+        Addresses that receive no messages.
+    """
 
     def __init__(self, count: int, losses: int = 1) -> None:
         self.view = View(1, members(count))
@@ -43,15 +49,15 @@
             )
             for m in self.view.members
         }
-        self.cut: set[str] = set()
-        self.sent = 0
+        self.unreachable: set[str] = set()
+        self.sent_count = 0
         self.sent_bytes = 0
         self.client = LedgerClient("domain0", losses)
         self.client.adopt_view(self.view)
         self.quota: QuotaClient | None = None
 
     def exchange_heartbeats(self) -> None:
-        """Let all keepers hear of each other now."""
+        """Deliver a heartbeat of every keeper to every keeper."""
         now = asyncio.get_running_loop().time()
         for core in self.cores.values():
             for member in self.view.members:
@@ -59,13 +65,13 @@
                 core.receive(f"{member.address}#a", ping, now)
 
     def send(self, to: str, message: LedgerMessage) -> None:
-        """Carry a message of the client; part of a transport's interface."""
-        self.sent += 1
+        """Deliver a message of the client; part of the interface of `Transport`."""
+        self.sent_count += 1
         self.sent_bytes += len(encode_ledger(message))
-        self._carry(RELAY, to, message)
+        self._schedule(RELAY, to, message)
 
-    def _carry(self, sender: str, to: str, message: LedgerMessage) -> None:
-        if to not in self.cut:
+    def _schedule(self, sender: str, to: str, message: LedgerMessage) -> None:
+        if to not in self.unreachable:
             loop = asyncio.get_running_loop()
             loop.call_soon(self._deliver, sender, to, encode_ledger(message))
 
@@ -83,4 +89,4 @@
         if batch is not None:
             core.synced(batch)
         for target, message in core.take_outbox():
-            self._carry(to, target, message)
+            self._schedule(to, target, message)
--- a/tests/relay/machines.py
+++ b/tests/relay/machines.py
@@ -1,4 +1,4 @@
-"""A small deployment of relays and keepers as processes, on loopback."""
+"""A small deployment of relay and keeper processes on loopback addresses."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 from tests.relay.stand import Caller, Reply, ScriptedServer
 from wisteriastair.standins.deployment import free_address
 
-LIMIT_S = 30.0
+SCENARIO_TIMEOUT_S = 30.0
 RELAY_IP = "127.0.0.1"
 OTHER_RELAY_IP = "127.0.0.4"
 KEEPER_IP = "127.0.0.2"
 OTHER_KEEPER_IP = "127.0.0.3"
-# Where nobody listens: the store as it is for a machine that it turns away.
-NO_STORE = "127.0.0.1:1"
+# Address without a listener, for a process that cannot reach the store.
+UNREACHABLE_STORE = "127.0.0.1:1"
 CONFIG: dict[str, Any] = {
     "version": 3,
     "routes": [
@@ -56,8 +56,8 @@
     return int(free_address().rpartition(":")[2])
 
 
-class Machines:
-    """Settings files and processes of one small deployment."""
+class Deployment:
+    """Settings files and processes of a small deployment."""
 
     def __init__(self, folder: Path, store: StoreStandin) -> None:
         self.front = free_port()
@@ -85,7 +85,7 @@
     async def run(
         self, role: str, ip: str, store: str = ""
     ) -> AsyncIterator[subprocess.Popen[bytes]]:
-        """Run a relay or a keeper; `store` is another address of its store."""
+        """Run a relay or a keeper; `store` overrides the address of the store."""
         boot = str(self._settings(role, ip, store))
         process = subprocess.Popen(
             [sys.executable, "-m", "wisteriastair", role],
@@ -99,7 +99,7 @@
             await anyio.to_thread.run_sync(process.wait)
 
     async def open(self, port: int, ip: str = RELAY_IP) -> Caller:
-        """Open a channel to the relay as soon as it listens."""
+        """Connect to a relay as soon as it listens."""
         while True:
             try:
                 reader, writer = await asyncio.open_connection(ip, port)
@@ -108,15 +108,15 @@
                 continue
             return Caller(reader, writer)
 
-    async def ask(self, request_id: str, path: str = "unsafe") -> Reply:
+    async def request(self, request_id: str, path: str = "unsafe") -> Reply:
         caller = await self.open(self.front)
         await caller.send(path, request_id)
         return await caller.read()
 
-    async def take_turn(self, ip: str, program: str, turn: str) -> Reply:
-        """Ask for a turn of 200 tokens of a program that has 300, until one is taken.
+    async def run_turn(self, ip: str, program: str, turn: str) -> Reply:
+        """Request a turn of 200 tokens with a budget of 300, until one is accepted.
 
-        Relays that do not reach the ledger say that it has not run.
+        Relays that cannot reach the ledger answer 503.
         """
         number = 0
         while True:
@@ -136,19 +136,19 @@
                 return reply
             await anyio.sleep(0.05)
 
-    async def ask_ready(self) -> int:
+    async def request_ready(self) -> int:
         caller = await self.open(self.ready)
         await caller.raw("GET /v1/ready HTTP/1.1\r\nHost: r\r\n\r\n")
         return (await caller.read()).status
 
-    async def until_served(self) -> None:
+    async def wait_until_served(self) -> None:
         number = 0
-        while (await self.ask(f"first-{number}")).status != 200:
+        while (await self.request(f"first-{number}")).status != 200:
             number += 1
             await anyio.sleep(0.05)
 
 
-def entry_of(server: ScriptedServer, **more: object) -> bytes:
+def server_entry(server: ScriptedServer, **more: object) -> bytes:
     entry = {"service": "svc", "address": server.address, "zone": "z1"}
     return json.dumps(entry | {"slots": 8, "state": "ready"} | more).encode()
 
@@ -156,15 +156,15 @@
 def play(
     server: ScriptedServer,
     folder: Path,
-    story: Callable[[Machines, StoreStandin, AsyncExitStack], Awaitable[None]],
+    scenario: Callable[[Deployment, StoreStandin, AsyncExitStack], Awaitable[None]],
 ) -> None:
     async def main() -> None:
         async with standin_store() as store, AsyncExitStack() as stack:
             await server.start()
             store.put("op/config", json.dumps(CONFIG).encode())
-            store.put(f"servers/{server.id}", entry_of(server))
-            with anyio.fail_after(LIMIT_S):
-                await story(Machines(folder, store), store, stack)
+            store.put(f"servers/{server.id}", server_entry(server))
+            with anyio.fail_after(SCENARIO_TIMEOUT_S):
+                await scenario(Deployment(folder, store), store, stack)
             server.stop()
 
     anyio.run(main)
--- a/tests/relay/stand.py
+++ b/tests/relay/stand.py
@@ -1,6 +1,6 @@
-"""A relay's handler on loopback, before servers that answer as a test says.
+"""Test harness: a relay's handler on loopback, with scripted servers.
 
-No store and no platform: the test sets the configuration and the servers itself.
+There is no store and no platform: the test sets the configuration and the servers.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 class Exchange:
-    """One request as a scripted server got it, and the channel to answer on."""
+    """One request to a scripted server, and the connection for the response."""
 
     def __init__(
         self,
@@ -69,10 +69,10 @@
         await self.writer.drain()
 
     async def answer(
-        self, body: str, *, status: str = "200 OK", more: str = ""
+        self, body: str, *, status: str = "200 OK", extra_head: str = ""
     ) -> None:
         request_id = self.header("X-Request-Id")
-        head = f"HTTP/1.1 {status}\nX-Request-Id: {request_id}\n{STAMP}\n{more}"
+        head = f"HTTP/1.1 {status}\nX-Request-Id: {request_id}\n{STAMP}\n{extra_head}"
         await self.say(f"{head}Content-Length: {len(body)}\n\n")
         self.writer.write(body.encode())
         await self.writer.drain()
@@ -114,7 +114,7 @@
         self.id = server_id
         self.script = script
         self.got: list[Exchange] = []
-        self.channels = 0
+        self.connection_count = 0
         self.address = ""
         self._server: asyncio.Server
 
@@ -129,7 +129,7 @@
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        self.channels += 1
+        self.connection_count += 1
         try:
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode()
@@ -139,7 +139,7 @@
                 self.got.append(exchange)
                 await self.script(exchange)
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
-            # Also at the end of the loop, where a cancelled reader would be reported.
+            # Cancellation included: asyncio would report it at the end of the loop.
             writer.close()
 
 
@@ -169,13 +169,13 @@
     route("unsafe", RequestKind.UNSAFE),
     route("turn", RequestKind.STREAM, keeps_history=True),
     route("talk", RequestKind.STREAM, resumable=True),
-    # For what takes long on a busy machine, where time is not what is tested.
+    # For tests that take long on a busy machine and do not test the time limit.
     route("long", RequestKind.STREAM, keeps_history=True, timeout_s=9.0),
 )
 
 
 class Stand:
-    """The handler under test and what is around it."""
+    """The handler under test, its port, servers and keepers."""
 
     def __init__(self, port: int, handler: RelayHandler, fleet: Fleet) -> None:
         self.port = port
@@ -188,15 +188,17 @@
         reader, writer = await asyncio.open_connection(HOST, self.port)
         return Caller(reader, writer)
 
-    async def ask(self, name: str, request_id: str = "q1", **more: str) -> Reply:
-        """Send one request on a channel of its own."""
+    async def request(
+        self, name: str, request_id: str = "q1", **extra_headers: str
+    ) -> Reply:
+        """Send one request on a new connection and read the reply."""
         caller = await self.open()
-        await caller.send(name, request_id, **more)
+        await caller.send(name, request_id, **extra_headers)
         return await caller.read()
 
 
 class Reply:
-    """An answer as a caller read it; `whole` is False if it broke off."""
+    """A response as a caller received it; `whole` is False if it was truncated."""
 
     def __init__(self, status: int, head: str, body: bytes, whole: bool) -> None:
         self.status = status
@@ -206,7 +208,7 @@
 
 
 class Caller:
-    """A caller's end of a channel."""
+    """The caller's side of a connection."""
 
     def __init__(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -215,11 +217,13 @@
         self.writer = writer
 
     async def send(
-        self, name: str, request_id: str, body: str = "", **more: str
+        self, name: str, request_id: str, body: str = "", **extra_headers: str
     ) -> None:
         method = "GET" if name == "safe" else "POST"
         headers = {"X-Request-Id": request_id, "X-Deadline-Ms": "2000"}
-        headers |= {key.replace("_", "-"): value for key, value in more.items()}
+        headers |= {
+            key.replace("_", "-"): value for key, value in extra_headers.items()
+        }
         lines = [f"{method} /{name}/x HTTP/1.1", "Host: h"]
         lines += [f"{key}: {value}" for key, value in headers.items()]
         if method == "POST":
@@ -257,8 +261,8 @@
 
 
 @asynccontextmanager
-async def stand(*servers: ScriptedServer) -> AsyncIterator[Stand]:
-    """Run a handler before some servers."""
+async def run_harness(*servers: ScriptedServer) -> AsyncIterator[Stand]:
+    """Run a handler with some servers."""
     loop = asyncio.get_running_loop()
     fleet = Fleet()
     for server in servers:
@@ -278,13 +282,13 @@
     handler.table = RouteTable(1, ROUTES, services, CallerLimits())
     async with anyio.create_task_group() as group:
         keepers.client.start(cast(Transport[LedgerMessage], keepers), group)
-        under_test = Stand(0, handler, fleet)
-        under_test.keepers = keepers
+        harness = Stand(0, handler, fleet)
+        harness.keepers = keepers
         listener = await loop.create_server(
-            lambda: CallerChannel(handler, group, under_test.channels), HOST, 0
+            lambda: CallerChannel(handler, group, harness.channels), HOST, 0
         )
-        under_test.port = listener.sockets[0].getsockname()[1]
-        yield under_test
+        harness.port = listener.sockets[0].getsockname()[1]
+        yield harness
         listener.close()
         for server in servers:
             server.stop()
@@ -292,12 +296,12 @@
 
 
 def play(
-    servers: list[ScriptedServer], story: Callable[[Stand], Awaitable[None]]
+    servers: list[ScriptedServer], scenario: Callable[[Stand], Awaitable[None]]
 ) -> None:
     async def main() -> None:
-        async with stand(*servers) as under_test:
+        async with run_harness(*servers) as harness:
             with anyio.fail_after(10):
-                await story(under_test)
+                await scenario(harness)
 
     anyio.run(main)
 
--- a/tests/relay/test_customers.py
+++ b/tests/relay/test_customers.py
@@ -1,4 +1,4 @@
-"""What callers with keys and quotas see of a relay, and what servers see of callers."""
+"""Keys and quotas of customers: responses to callers, and headers sent to servers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 TURN = {"X_Program_Id": "p", "X_Token_Usage": "10,200", "X_Token_Budget": "1000"}
 
 
-async def streams(exchange: Exchange) -> None:
+async def stream_events(exchange: Exchange) -> None:
     await exchange.stream(*EVENTS)
 
 
@@ -33,211 +33,223 @@
     )
 
 
-def play_with(
-    known: Customers,
+def run_with_customers(
+    table_customers: Customers,
     servers: list[ScriptedServer],
-    story: Callable[[Stand], Awaitable[None]],
+    scenario: Callable[[Stand], Awaitable[None]],
 ) -> None:
-    async def with_customers(at: Stand) -> None:
-        configure(at, known)
-        await story(at)
+    async def with_customers(harness: Stand) -> None:
+        configure(harness, table_customers)
+        await scenario(harness)
 
     play(servers, with_customers)
 
 
-def configure(at: Stand, known: Customers, version: int = 1) -> None:
+def configure(harness: Stand, table_customers: Customers, version: int = 1) -> None:
     routes = (*ROUTES, route("open", RequestKind.UNSAFE, is_open=True))
     services = {"svc": Service("svc", 100, None)}
-    at.handler.table = RouteTable(version, routes, services, CallerLimits(), known)
-    for core in at.keepers.cores.values():
-        core.quota.configure(known.by_name, 0.0)
-    at.keepers.exchange_heartbeats()
+    harness.handler.table = RouteTable(
+        version, routes, services, CallerLimits(), table_customers
+    )
+    for core in harness.keepers.cores.values():
+        core.quota.configure(table_customers.by_name, 0.0)
+    harness.keepers.exchange_heartbeats()
 
 
-def test_a_server_is_told_the_customer_and_never_the_key() -> None:
-    """A caller names another customer than its key's, and asks for another's rank.
+def test_server_gets_the_customer_but_not_the_key() -> None:
+    """A caller sends the name of another customer than the one its key belongs to.
 
-    Servers take the customer's name as it comes, so only the relay may set it.
+    Servers trust the customer's name, so only the relay may set it.
     """
     server = ScriptedServer("s1", good)
 
-    async def story(at: Stand) -> None:
-        reply = await at.ask("unsafe", "a", **bearer("one", X_Tenant="two"))
+    async def scenario(harness: Stand) -> None:
+        reply = await harness.request("unsafe", "a", **bearer("one", X_Tenant="two"))
         assert reply.status == 200
-        assert (await at.ask("open", "b", **bearer("one"))).status == 200
-        assert (await at.ask("open", "c", X_Tenant="two")).status == 200
-        assert [got.header("X-Tenant") for got in server.got] == ["one", "", ""]
-        assert not any("key-of" in got.head for got in server.got)
+        assert (await harness.request("open", "b", **bearer("one"))).status == 200
+        assert (await harness.request("open", "c", X_Tenant="two")).status == 200
+        assert [exchange.header("X-Tenant") for exchange in server.got] == [
+            "one",
+            "",
+            "",
+        ]
+        assert not any("key-of" in exchange.head for exchange in server.got)
 
-    play_with(customers(), [server], story)
+    run_with_customers(customers(), [server], scenario)
 
 
-def test_a_turn_has_the_rank_of_its_customer() -> None:
-    server = ScriptedServer("s1", streams)
+def test_turn_has_the_priority_of_its_customer() -> None:
+    server = ScriptedServer("s1", stream_events)
 
-    async def story(at: Stand) -> None:
-        assert (await at.ask("talk", "a", **bearer("one", **TURN))).status == 200
+    async def scenario(harness: Stand) -> None:
+        assert (
+            await harness.request("talk", "a", **bearer("one", **TURN))
+        ).status == 200
         assert server.got[0].header("X-Request-Priority") == "0"
 
-    play_with(customers(rank=0), [server], story)
+    run_with_customers(customers(rank=0), [server], scenario)
 
 
 @pytest.mark.parametrize(
     "value",
     ["", "Bearer", "Bearer unknown", "Basic key-of-one", "key-of-one", "Bearer " * 99],
 )
-def test_who_holds_no_key_is_refused_at_once(value: str) -> None:
-    """No key, an unknown one or another scheme: nothing runs, whatever the relay knows.
+def test_request_without_known_key_is_refused(value: str) -> None:
+    """A request without a known key is refused and does not run.
 
-    The answer does not ask the caller to come back, since that would not help.
+    The response must not contain Retry-After, since a retry would not help.
     """
     server = ScriptedServer("s1", good)
 
-    async def story(at: Stand) -> None:
+    async def scenario(harness: Stand) -> None:
         more = {"Authorization": value} if value else {}
-        reply = await at.ask("unsafe", "a", **more)
+        reply = await harness.request("unsafe", "a", **more)
         assert reply.status == 401
         assert json.loads(reply.body)["ran"] == "no"
         assert "Retry-After" not in reply.head
         assert not server.got
 
-    play_with(customers(), [server], story)
+    run_with_customers(customers(), [server], scenario)
 
 
-def test_a_key_that_may_be_new_is_not_denied_for_good() -> None:
-    """The relay has lost the store; meanwhile a customer has got a key.
+def test_unknown_key_may_be_retried_with_outdated_configuration() -> None:
+    """The relay has lost contact with the store while a key was added.
 
-    Callers give up after a 401, so until the store is heard again they are told to come
-    back.  What is known goes on being served.
+    Callers do not retry after a 401, so a caller with an unknown key must be told to
+    retry later.  Known keys are still served.
     """
 
-    async def story(at: Stand) -> None:
-        at.handler.is_config_current = False
-        reply = await at.ask("unsafe", "a", Authorization="Bearer new")
+    async def scenario(harness: Stand) -> None:
+        harness.handler.is_config_current = False
+        reply = await harness.request("unsafe", "a", Authorization="Bearer new")
         assert reply.status == 503 and "Retry-After" in reply.head
-        assert (await at.ask("unsafe", "b", **bearer("one"))).status == 200
-        assert (await at.ask("unsafe", "c")).status == 401, "no key is never one"
+        assert (await harness.request("unsafe", "b", **bearer("one"))).status == 200
+        assert (await harness.request("unsafe", "c")).status == 401, (
+            "a missing key cannot be a new one"
+        )
 
-    play_with(customers(), [ScriptedServer("s1", good)], story)
+    run_with_customers(customers(), [ScriptedServer("s1", good)], scenario)
 
 
-def test_a_revoked_key_ends_with_the_next_request_of_its_channel() -> None:
-    """A caller keeps its channel open while its key is taken away."""
+def test_revoked_key_is_refused_on_an_open_connection() -> None:
+    """A caller keeps its connection open while its key is revoked."""
 
-    async def story(at: Stand) -> None:
-        caller = await at.open()
+    async def scenario(harness: Stand) -> None:
+        caller = await harness.open()
         await caller.send("unsafe", "a", **bearer("one"))
         assert (await caller.read()).status == 200
         only_two = Customers([(Customer("two", None, None), [])])
-        configure(at, only_two, version=2)
+        configure(harness, only_two, version=2)
         await caller.send("unsafe", "b", **bearer("one"))
         assert (await caller.read()).status == 401
 
-    play_with(customers(), [ScriptedServer("s1", good)], story)
+    run_with_customers(customers(), [ScriptedServer("s1", good)], scenario)
 
 
-def test_another_customers_turn_is_no_such_turn() -> None:
-    """Two customers name their programs and turns alike; one names the other's turn.
+def test_turn_of_another_customer_is_not_found() -> None:
+    """Two customers use the same program and turn ids.
 
-    Found by its id alone, the server would get what the other customer had said.
+    If turns were found by id alone, a server would get another customer's content.
     """
-    server = ScriptedServer("s1", streams)
+    server = ScriptedServer("s1", stream_events)
 
-    async def story(at: Stand) -> None:
+    async def scenario(harness: Stand) -> None:
         one, two = bearer("one", **TURN), bearer("two", **TURN)
-        assert (await at.ask("turn", "t1", **one)).status == 200
+        assert (await harness.request("turn", "t1", **one)).status == 200
         follow = {"X_Previous_Turn": "t1"}
-        assert (await at.ask("turn", "t2", **two, **follow)).status == 404
-        assert (await at.ask("turn", "t2", **one, **follow)).status == 200
-        assert [got.body for got in server.got] == [b"", b"one\ntwo\n"]
+        assert (await harness.request("turn", "t2", **two, **follow)).status == 404
+        assert (await harness.request("turn", "t2", **one, **follow)).status == 200
+        assert [exchange.body for exchange in server.got] == [b"", b"one\ntwo\n"]
 
-    play_with(customers(), [server], story)
+    run_with_customers(customers(), [server], scenario)
 
 
-def test_what_is_over_the_quota_is_refused_and_has_not_run() -> None:
-    """A customer asks without a pause for far more than its quota.
+def test_requests_over_the_quota_do_not_run() -> None:
+    """A customer sends far more requests than its quota allows.
 
-    What is over gets a 429 with the time to come back and reaches no server; another
-    customer does not notice.
+    Excess requests must get a 429 with Retry-After and reach no server; another
+    customer must not be affected.
     """
     server = ScriptedServer("s1", good)
 
-    async def story(at: Stand) -> None:
+    async def scenario(harness: Stand) -> None:
         statuses = []
         for number in range(80):
-            reply = await at.ask("unsafe", f"q{number}", **bearer("one"))
+            reply = await harness.request("unsafe", f"q{number}", **bearer("one"))
             statuses.append(reply.status)
         assert set(statuses) == {200, 429}
         assert len(server.got) == statuses.count(200) < 60
-        refused = await at.ask("unsafe", "last", **bearer("one"))
+        refused = await harness.request("unsafe", "last", **bearer("one"))
         assert refused.status == 429 and "Retry-After: " in refused.head
         assert json.loads(refused.body)["ran"] == "no"
-        assert (await at.ask("unsafe", "other", **bearer("two"))).status == 200
+        assert (await harness.request("unsafe", "other", **bearer("two"))).status == 200
 
-    play_with(customers(Quota(1.0, 1.0)), [server], story)
+    run_with_customers(customers(Quota(1.0, 1.0)), [server], scenario)
 
 
-def test_without_any_holder_nothing_of_a_quota_runs() -> None:
-    """The relay is cut off from all keepers; nobody can say what the quota still holds.
+def test_requests_do_not_run_if_no_quota_holder_is_reachable() -> None:
+    """All keepers are unreachable, so the state of the quota is unknown.
 
-    The caller is told to come back; customers without a quota are served on.
+    The caller must be told to retry later; customers without a quota are still served.
     """
     server = ScriptedServer("s1", good)
 
-    async def story(at: Stand) -> None:
-        at.keepers.cut = set(at.keepers.cores)
-        reply = await at.ask("unsafe", "a", **bearer("one"))
+    async def scenario(harness: Stand) -> None:
+        harness.keepers.unreachable = set(harness.keepers.cores)
+        reply = await harness.request("unsafe", "a", **bearer("one"))
         assert reply.status == 503 and "Retry-After" in reply.head
         assert not server.got
-        configure(at, customers(), version=2)
-        assert (await at.ask("unsafe", "b", **bearer("one"))).status == 200
+        configure(harness, customers(), version=2)
+        assert (await harness.request("unsafe", "b", **bearer("one"))).status == 200
 
-    play_with(customers(Quota(100.0, 100.0)), [server], story)
+    run_with_customers(customers(Quota(100.0, 100.0)), [server], scenario)
 
 
-def test_a_relay_that_knows_that_it_is_cut_off_refuses_at_once() -> None:
-    """The relay is cut off from all keepers and has found that out by its turns.
+def test_requests_are_refused_at_once_while_keepers_are_unreachable() -> None:
+    """All keepers are unreachable, and a failed turn has revealed that.
 
-    A call that waited for a permit would lose half of its time, which its caller needs
-    to be served by another relay.
+    A request that waited for a permit would lose half of its time, which its caller
+    needs for a retry on another relay.
     """
     server = ScriptedServer("s1", good)
 
-    async def story(at: Stand) -> None:
-        at.keepers.cut = set(at.keepers.cores)
-        assert (await at.ask("turn", "t", **bearer("one", **TURN))).status == 503
+    async def scenario(harness: Stand) -> None:
+        harness.keepers.unreachable = set(harness.keepers.cores)
+        assert (
+            await harness.request("turn", "t", **bearer("one", **TURN))
+        ).status == 503
         began = asyncio.get_running_loop().time()
-        reply = await at.ask("unsafe", "a", **bearer("one"))
+        reply = await harness.request("unsafe", "a", **bearer("one"))
         assert reply.status == 503 and "Retry-After" in reply.head
         assert asyncio.get_running_loop().time() - began < 0.2
         assert not server.got
 
-    play_with(customers(Quota(100.0, 100.0)), [server], story)
+    run_with_customers(customers(Quota(100.0, 100.0)), [server], scenario)
 
 
-def test_one_lost_holder_is_not_noticed() -> None:
-    """One of three keepers is cut off: the others' parts of the quota are enough."""
+def test_one_unreachable_quota_holder_is_tolerated() -> None:
+    """One of three keepers is unreachable; the other holders' quotas suffice."""
     server = ScriptedServer("s1", good)
 
-    async def story(at: Stand) -> None:
-        at.keepers.cut = {"k0:1"}
+    async def scenario(harness: Stand) -> None:
+        harness.keepers.unreachable = {"k0:1"}
         for number in range(12):
-            reply = await at.ask("unsafe", f"q{number}", **bearer("one"))
+            reply = await harness.request("unsafe", f"q{number}", **bearer("one"))
             assert reply.status == 200
 
-    play_with(customers(Quota(100.0, 100.0)), [server], story)
+    run_with_customers(customers(Quota(100.0, 100.0)), [server], scenario)
 
 
-def test_a_key_is_in_no_log_line(caplog: pytest.LogCaptureFixture) -> None:
-    """Whoever reads the logs must not be able to ask as a customer."""
+def test_log_lines_contain_no_key(caplog: pytest.LogCaptureFixture) -> None:
+    """Log readers must not be able to impersonate a customer."""
     caplog.set_level(logging.DEBUG)
 
-    async def story(at: Stand) -> None:
-        await at.ask("unsafe", "a", **bearer("one"))
-        await at.ask("unsafe", "b", Authorization="Bearer secret-unknown")
-        await at.ask("nowhere", "c", **bearer("one"))
+    async def scenario(harness: Stand) -> None:
+        await harness.request("unsafe", "a", **bearer("one"))
+        await harness.request("unsafe", "b", Authorization="Bearer secret-unknown")
+        await harness.request("nowhere", "c", **bearer("one"))
 
-    play_with(customers(), [ScriptedServer("s1", good)], story)
+    run_with_customers(customers(), [ScriptedServer("s1", good)], scenario)
     lines = [str(vars(record)) for record in caplog.records]
     assert any("no customer holds the key" in line for line in lines)
     assert not any("key-of" in line or "secret" in line for line in lines)
--- a/tests/relay/test_daemon.py
+++ b/tests/relay/test_daemon.py
@@ -1,4 +1,4 @@
-"""A relay as a real process: graceful stop, and a start while the store is away."""
+"""Relay processes: graceful stop, and start while the store is unreachable."""
 
 from __future__ import annotations
 
@@ -15,28 +15,28 @@
 from tests.relay.machines import (
     CONFIG,
     KEEPER_IP,
-    NO_STORE,
     OTHER_KEEPER_IP,
     OTHER_RELAY_IP,
     RELAY_IP,
-    Machines,
-    entry_of,
+    UNREACHABLE_STORE,
+    Deployment,
     play,
+    server_entry,
 )
 from tests.relay.stand import Caller, Exchange, Reply, ScriptedServer
 from wisteriastair.core.stopping import NOTICE_S
 
-# Time after which a new configuration is in force, in seconds: ``configMs``.
+# Time until a new configuration is in force (``configMs``).
 CHANGE_S = 2.0
 
 
-def test_a_planned_stop_ends_what_is_under_way_and_then_the_process(
+def test_planned_stop_finishes_active_requests_and_exits(
     tmp_path: Path,
 ) -> None:
-    """The platform stops a relay while it answers a request.
+    """The platform stops a relay that has a request in progress.
 
-    The relay says at once that it is not ready, serves the request and those that still
-    come, ends their channels with the answers, and exits by itself.
+    The relay must report at once that it is not ready, serve this request and those
+    that still arrive, close their connections after the responses, and exit.
     """
 
     async def slow(exchange: Exchange) -> None:
@@ -44,40 +44,35 @@
             await asyncio.sleep(1.0)
         await exchange.answer("fine")
 
-    async def story(
-        machines: Machines, store: StoreStandin, stack: AsyncExitStack
+    async def scenario(
+        deployment: Deployment, store: StoreStandin, stack: AsyncExitStack
     ) -> None:
-        relay = await stack.enter_async_context(machines.run("relay", RELAY_IP))
-        await machines.until_served()
-        caller = await machines.open(machines.front)
+        relay = await stack.enter_async_context(deployment.run("relay", RELAY_IP))
+        await deployment.wait_until_served()
+        caller = await deployment.open(deployment.front)
         await caller.send("unsafe", "slow")
         await anyio.sleep(0.2)
         relay.send_signal(signal.SIGTERM)
         await anyio.sleep(0.2)
-        assert await machines.ask_ready() == 503
-        late = await machines.ask("late")
+        assert await deployment.request_ready() == 503
+        late = await deployment.request("late")
         assert late.status == 200 and "Connection: close" in late.head
         reply = await caller.read()
         assert (reply.status, reply.body) == (200, b"fine")
         assert "Connection: close" in reply.head
         assert await anyio.to_thread.run_sync(relay.wait) == 0
 
-    play(ScriptedServer("s1", slow), tmp_path, story)
+    play(ScriptedServer("s1", slow), tmp_path, scenario)
 
 
-def test_a_relay_that_stops_answers_whatever_it_takes(tmp_path: Path) -> None:
-    """Callers see answers break off in the middle, long after a planned stop began.
+def test_stopping_relay_answers_every_accepted_request(tmp_path: Path) -> None:
+    """Callers get truncated responses at the end of a planned stop.
 
-    All relays of a failure domain are told to stop within seconds.  A platform that
-    finds most of them leaving goes on using all of them, so new callers keep coming to
-    each until it is gone.  A relay answered them as ever up to its last moment, which
-    cut whatever was under way then: requests that it need not have taken.
-
-    The lines that settled it, of one relay, 7.3 s after the signal with 8 s of grace:
-    ``stopped before all was done`` with ``left`` 2, then ``request broken off`` with
-    ``took_ms`` 476.9, ``left_ms`` 2523 and ``events`` 9.  Of 45 requests broken off on
-    eight relays all were taken 6.35 s or more after the signal, and each had more than
-    a second of its own time left.
+    When most relays of a failure domain stop at the same time, the platform keeps
+    routing new callers to all of them.  A relay that accepts requests up to its end
+    cuts those in progress.  With a grace period of 8 s, relays cut requests that they
+    had accepted 6.35 s or more after the signal, each with more than a second left
+    before its deadline.  A relay must refuse requests that it may be unable to finish.
     """
 
     async def slow(exchange: Exchange) -> None:
@@ -86,17 +81,17 @@
 
     server = ScriptedServer("s1", slow)
 
-    async def story(
-        machines: Machines, store: StoreStandin, stack: AsyncExitStack
+    async def scenario(
+        deployment: Deployment, store: StoreStandin, stack: AsyncExitStack
     ) -> None:
-        relay = await stack.enter_async_context(machines.run("relay", RELAY_IP))
-        await machines.until_served()
+        relay = await stack.enter_async_context(deployment.run("relay", RELAY_IP))
+        await deployment.wait_until_served()
         relay.send_signal(signal.SIGTERM)
         replies: dict[str, Reply] = {}
 
         async def ask(request_id: str) -> None:
             try:
-                streams = await asyncio.open_connection(RELAY_IP, machines.front)
+                streams = await asyncio.open_connection(RELAY_IP, deployment.front)
                 caller = Caller(*streams)
                 await caller.send("unsafe", request_id)
                 replies[request_id] = await caller.read()
@@ -115,20 +110,20 @@
         assert ended and set(ended) == {200}
         refused = [reply for name, reply in replies.items() if name not in ran]
         assert {reply.status for reply in refused} <= {0, 503}
-        told = [reply.head.lower() for reply in refused if reply.status == 503]
-        assert told
-        assert all("retry-after: " in head for head in told)
-        assert all("connection: close" in head for head in told)
+        heads = [reply.head.lower() for reply in refused if reply.status == 503]
+        assert heads
+        assert all("retry-after: " in head for head in heads)
+        assert all("connection: close" in head for head in heads)
 
-    play(server, tmp_path, story)
+    play(server, tmp_path, scenario)
 
 
-def test_a_relay_that_stops_settles_what_its_last_turns_took(tmp_path: Path) -> None:
-    """A program is told that its budget of 300 tokens is spent; it has got one.
+def test_stopping_relay_settles_its_last_turns(tmp_path: Path) -> None:
+    """A program's budget of 300 tokens is reported as spent after one token.
 
-    Its last turn ended whole just before the relay's planned stop, while the keepers
-    were being started again.  Nobody waits for the settlement of a turn that is not
-    kept; if the relay ends first, all that the turn could have taken stays reserved.
+    Its last turn ended just before the relay's planned stop, while the keepers were
+    restarting.  The settlement of a turn without history runs in the background; if the
+    relay ends first, all tokens reserved for the turn stay reserved.
     """
     ending = anyio.Event()
 
@@ -140,31 +135,31 @@
 
     server = ScriptedServer("s1", talk)
 
-    async def story(
-        machines: Machines, store: StoreStandin, stack: AsyncExitStack
+    async def scenario(
+        deployment: Deployment, store: StoreStandin, stack: AsyncExitStack
     ) -> None:
         keeper_ips = (KEEPER_IP, OTHER_KEEPER_IP)
         keepers = [
-            await stack.enter_async_context(machines.run("keeper", ip))
+            await stack.enter_async_context(deployment.run("keeper", ip))
             for ip in keeper_ips
         ]
         relay_ips = (RELAY_IP, OTHER_RELAY_IP)
         relay, _ = [
-            await stack.enter_async_context(machines.run("relay", ip))
+            await stack.enter_async_context(deployment.run("relay", ip))
             for ip in relay_ips
         ]
         for ip in relay_ips:
-            first = await machines.take_turn(ip, f"first-{ip}", f"first-{ip}")
+            first = await deployment.run_turn(ip, f"first-{ip}", f"first-{ip}")
             assert first.status == 200
         relay.send_signal(signal.SIGTERM)
         await anyio.sleep(NOTICE_S - 0.5)
         replies: list[Reply] = []
 
-        async def take_last() -> None:
-            replies.append(await machines.take_turn(RELAY_IP, "p", "last"))
+        async def run_last_turn() -> None:
+            replies.append(await deployment.run_turn(RELAY_IP, "p", "last"))
 
         async with anyio.create_task_group() as callers:
-            callers.start_soon(take_last)
+            callers.start_soon(run_last_turn)
             await anyio.sleep(1.0)
             for keeper in keepers:
                 keeper.kill()
@@ -173,74 +168,74 @@
         assert replies[0].status == 200 and replies[0].whole
         await anyio.sleep(0.5)
         for ip in keeper_ips:
-            await stack.enter_async_context(machines.run("keeper", ip))
+            await stack.enter_async_context(deployment.run("keeper", ip))
         assert await anyio.to_thread.run_sync(relay.wait) == 0
-        after = await machines.take_turn(OTHER_RELAY_IP, "p", "after")
+        after = await deployment.run_turn(OTHER_RELAY_IP, "p", "after")
         assert after.status == 200, after.body
 
-    play(server, tmp_path, story)
+    play(server, tmp_path, scenario)
 
 
-def test_a_relay_that_starts_while_the_store_is_away_learns_from_a_keeper(
+def test_start_without_store_uses_documents_of_a_keeper(
     tmp_path: Path,
 ) -> None:
-    """The store goes away; a relay starts anew and knows nothing.
+    """A relay starts while the store is unreachable.
 
-    A keeper remembers what the store last said.  Without it callers would be turned
-    away until the store is back.
+    It must get the store's documents from a keeper.  Otherwise it would refuse callers
+    until the store is reachable again.
     """
 
     async def good(exchange: Exchange) -> None:
         await exchange.answer("fine")
 
-    async def story(
-        machines: Machines, store: StoreStandin, stack: AsyncExitStack
+    async def scenario(
+        deployment: Deployment, store: StoreStandin, stack: AsyncExitStack
     ) -> None:
-        await stack.enter_async_context(machines.run("keeper", KEEPER_IP))
+        await stack.enter_async_context(deployment.run("keeper", KEEPER_IP))
         while not any(event["key"].startswith("wist") for event in store.history):
             await anyio.sleep(0.05)
         await anyio.sleep(0.5)
         store.down = True
-        await stack.enter_async_context(machines.run("relay", RELAY_IP))
-        await machines.until_served()
+        await stack.enter_async_context(deployment.run("relay", RELAY_IP))
+        await deployment.wait_until_served()
 
-    play(ScriptedServer("s1", good), tmp_path, story)
+    play(ScriptedServer("s1", good), tmp_path, scenario)
 
 
-def test_a_relay_that_the_store_turns_away_misses_no_change_at_its_start(
+def test_start_without_store_misses_no_change(
     tmp_path: Path,
 ) -> None:
-    """Guards against a change between a keeper's documents and its first news."""
+    """Guards against missing a change between a keeper's documents and first update."""
 
     async def good(exchange: Exchange) -> None:
         await exchange.answer("fine")
 
-    async def story(
-        machines: Machines, store: StoreStandin, stack: AsyncExitStack
+    async def scenario(
+        deployment: Deployment, store: StoreStandin, stack: AsyncExitStack
     ) -> None:
-        await stack.enter_async_context(machines.run("keeper", KEEPER_IP))
+        await stack.enter_async_context(deployment.run("keeper", KEEPER_IP))
         while not any(event["key"].startswith("wist") for event in store.history):
             await anyio.sleep(0.05)
         await anyio.sleep(0.5)
-        relay = machines.run("relay", RELAY_IP, NO_STORE)
+        relay = deployment.run("relay", RELAY_IP, UNREACHABLE_STORE)
         await stack.enter_async_context(relay)
-        await machines.until_served()
+        await deployment.wait_until_served()
         moved = CONFIG["routes"][0] | {"prefix": "/moved/"}
         newer = CONFIG | {"version": 4, "routes": [moved]}
         store.put("op/config", json.dumps(newer).encode())
         await anyio.sleep(CHANGE_S)
-        assert (await machines.ask("new", "moved")).status == 200
+        assert (await deployment.request("new", "moved")).status == 200
 
-    play(ScriptedServer("s1", good), tmp_path, story)
+    play(ScriptedServer("s1", good), tmp_path, scenario)
 
 
-def test_entries_of_another_writer_name_no_server_and_disturb_none(
+def test_invalid_server_entries_are_ignored(
     tmp_path: Path,
 ) -> None:
-    """Somebody writes entries that are no entries beside a sound one.
+    """Another writer stores invalid server entries beside a valid one.
 
-    Callers are served by the sound server all the while.  The entry of the one server
-    is then spoilt: it names no server any more, and callers are told to come back.
+    Callers must still be served by the valid server.  Once its entry is replaced by an
+    invalid one, callers must be told to retry later.
     """
 
     async def good(exchange: Exchange) -> None:
@@ -248,23 +243,23 @@
 
     server = ScriptedServer("s1", good)
 
-    async def story(
-        machines: Machines, store: StoreStandin, stack: AsyncExitStack
+    async def scenario(
+        deployment: Deployment, store: StoreStandin, stack: AsyncExitStack
     ) -> None:
         store.put_text("servers/a", "*")
         store.put("servers/b", b"\xff\x00")
         store.put("servers/c", b'{"service": 7}')
-        store.put("servers/d", entry_of(server, state="odd"))
-        store.put("servers/e", entry_of(server, slots="8"))
-        await stack.enter_async_context(machines.run("relay", RELAY_IP))
-        await machines.until_served()
+        store.put("servers/d", server_entry(server, state="odd"))
+        store.put("servers/e", server_entry(server, slots="8"))
+        await stack.enter_async_context(deployment.run("relay", RELAY_IP))
+        await deployment.wait_until_served()
         for number in range(20):
-            assert (await machines.ask(f"sound-{number}")).status == 200
-        store.put("servers/s1", entry_of(server, state="odd"))
-        while (await machines.ask(f"spoilt-{store.revision}")).status != 503:
+            assert (await deployment.request(f"sound-{number}")).status == 200
+        store.put("servers/s1", server_entry(server, state="odd"))
+        while (await deployment.request(f"spoilt-{store.revision}")).status != 503:
             await anyio.sleep(0.05)
-        store.put("servers/s1", entry_of(server, born=5))
-        while (await machines.ask(f"again-{store.revision}")).status != 200:
+        store.put("servers/s1", server_entry(server, born=5))
+        while (await deployment.request(f"again-{store.revision}")).status != 200:
             await anyio.sleep(0.05)
 
-    play(server, tmp_path, story)
+    play(server, tmp_path, scenario)
--- a/tests/relay/test_events.py
+++ b/tests/relay/test_events.py
@@ -1,4 +1,4 @@
-"""Events are cut out whole, wherever the bytes are split."""
+"""Splitting of a byte stream into whole events."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 STREAM = b"id: 1\ndata: one\n\nx-weight-versions: 2\nid: 2\ndata: two\n\n"
 
 
-def test_every_split_gives_the_same_events() -> None:
+def test_events_do_not_depend_on_chunk_boundaries() -> None:
     for cut in range(len(STREAM) + 1):
         splitter = EventSplitter(collect=True)
         passed = splitter.feed(STREAM[:cut]) + splitter.feed(STREAM[cut:])
@@ -18,11 +18,11 @@
         assert splitter.partial == b""
 
 
-def test_a_broken_event_is_not_passed_on() -> None:
-    """A server stops in the middle of an event.
+def test_partial_event_is_not_forwarded() -> None:
+    """A server fails in the middle of an event.
 
-    The caller must not get half of it: a stream that goes on elsewhere begins with
-    the event after the last whole one.
+    The caller must not get the partial event: a stream that resumes on another server
+    begins with the event after the last whole one.
     """
     splitter = EventSplitter(collect=True)
     assert splitter.feed(STREAM[:-3]) == STREAM[: STREAM.index(b"x-weight")]
--- a/tests/relay/test_ledger.py
+++ b/tests/relay/test_ledger.py
@@ -1,4 +1,4 @@
-"""The relay's side of the ledger, against the shipped cores of keepers."""
+"""The relay's ledger client with the production cores of keepers."""
 
 from __future__ import annotations
 
@@ -22,350 +22,364 @@
 )
 from wisteriastair.relay.questions import Granted
 
-PATIENCE_S = 0.5
+REQUEST_TIMEOUT_S = 0.5
 
 
 def reservation(
-    program: str, attempt: str, tokens: int = 100, *, budget: int = 1_000, on: str = ""
+    program: str,
+    attempt: str,
+    tokens: int = 100,
+    *,
+    budget: int = 1_000,
+    previous: str = "",
 ) -> Reservation:
-    return Reservation(program, attempt, tokens, budget, 60.0, on)
+    return Reservation(program, attempt, tokens, budget, 60.0, previous)
 
 
-def play(keepers: Keepers, story: Callable[[], Awaitable[Any]]) -> None:
+def play(keepers: Keepers, scenario: Callable[[], Awaitable[Any]]) -> None:
     async def main() -> None:
         async with anyio.create_task_group() as group:
             transport = cast(Transport[LedgerMessage], keepers)
             keepers.client.start(transport, group)
-            await story()
+            await scenario()
             group.cancel_scope.cancel()
 
     anyio.run(main)
 
 
-def soon() -> float:
-    return asyncio.get_running_loop().time() + PATIENCE_S
+def deadline() -> float:
+    return asyncio.get_running_loop().time() + REQUEST_TIMEOUT_S
 
 
-def test_a_new_program_continues_from_another_programs_turn() -> None:
-    """After an outage callers begin anew, from turns that they had before.
+def test_new_program_continues_from_another_programs_turn() -> None:
+    """After an outage, callers start new programs that continue from earlier turns.
 
-    The new program lies in another slot, on other replicas.  The caller must not be
-    told that there is no such turn, and once the old account has expired the chain
-    must still be there for the next turn of the new one.
+    The new program is in another slot, on other replicas.  The earlier turn must be
+    found, and the chain must remain available to the new program after the account of
+    the old one has expired.
     """
     keepers = Keepers(6)
 
-    async def story() -> None:
+    async def scenario() -> None:
         client = keepers.client
         for number in range(8):
             old = reservation(f"old{number}", f"a{number}")
             turn = Turn(f"t{number}", "", b"said\n")
-            assert isinstance(await client.reserve(old, soon()), Granted)
-            assert await client.settle(old, 10, (turn,), soon())
-            new = reservation(f"new{number}", f"b{number}", on=f"t{number}")
-            granted = await client.reserve(new, soon())
+            assert isinstance(await client.reserve(old, deadline()), Granted)
+            assert await client.settle(old, 10, (turn,), deadline())
+            new = reservation(f"new{number}", f"b{number}", previous=f"t{number}")
+            granted = await client.reserve(new, deadline())
             assert granted == Granted((turn,), old.program)
             more = Turn(f"u{number}", f"t{number}", b"more\n")
-            assert await client.settle(new, 10, (turn, more), soon())
+            assert await client.settle(new, 10, (turn, more), deadline())
             for core in keepers.cores.values():
                 core.ledger.accounts.pop(old.program, None)
             after = await client.reserve(
-                reservation(new.program, f"c{number}", on=more.id), soon()
+                reservation(new.program, f"c{number}", previous=more.id), deadline()
             )
             assert after == Granted((turn, more), new.program)
 
-    play(keepers, story)
+    play(keepers, scenario)
 
 
-def test_an_unknown_turn_is_only_denied_by_a_read_quorum() -> None:
-    """Two of three replicas are cut off when a caller continues from a turn.
+def test_turn_not_found_requires_a_read_quorum() -> None:
+    """Two of three replicas are unreachable when a caller continues from a turn.
 
-    The third does not have the turn.  Saying that there is none would end a program
-    whose history is safe on the other two.
+    The third does not have the turn.  "Turn not found" would end a program whose
+    history may be stored on the other two.
     """
     keepers = Keepers(3)
 
-    async def story() -> None:
+    async def scenario() -> None:
         client = keepers.client
-        outcome = await client.reserve(reservation("p", "a", on="t9"), soon())
+        outcome = await client.reserve(reservation("p", "a", previous="t9"), deadline())
         assert isinstance(outcome, TurnNotFound)
-        keepers.cut = {"k1:1", "k2:1"}
-        outcome = await client.reserve(reservation("p", "b", on="t9"), soon())
+        keepers.unreachable = {"k1:1", "k2:1"}
+        outcome = await client.reserve(reservation("p", "b", previous="t9"), deadline())
         assert isinstance(outcome, QuorumUnavailable)
 
-    play(keepers, story)
+    play(keepers, scenario)
 
 
-def test_one_lost_replica_is_not_waited_for() -> None:
+def test_unreachable_replica_does_not_delay_a_reservation() -> None:
     keepers = Keepers(3)
-    keepers.cut = {"k0:1"}
+    keepers.unreachable = {"k0:1"}
 
-    async def story() -> None:
+    async def scenario() -> None:
         client = keepers.client
-        assert isinstance(await client.reserve(reservation("p", "a"), soon()), Granted)
+        assert isinstance(
+            await client.reserve(reservation("p", "a"), deadline()), Granted
+        )
         assert client.resend_count == 0
 
-    play(keepers, story)
+    play(keepers, scenario)
 
 
-def test_budget_holds_over_settlements() -> None:
+def test_settlement_releases_unused_tokens() -> None:
     keepers = Keepers(3)
 
-    async def story() -> None:
+    async def scenario() -> None:
         client = keepers.client
         first = reservation("p", "a", 600)
-        assert isinstance(await client.reserve(first, soon()), Granted)
+        assert isinstance(await client.reserve(first, deadline()), Granted)
         assert isinstance(
-            await client.reserve(reservation("p", "b", 600), soon()), BudgetExceeded
+            await client.reserve(reservation("p", "b", 600), deadline()), BudgetExceeded
         )
-        assert await client.settle(first, 100, (), soon())
+        assert await client.settle(first, 100, (), deadline())
         await asyncio.sleep(0.01)
         assert isinstance(
-            await client.reserve(reservation("p", "c", 600), soon()), Granted
+            await client.reserve(reservation("p", "c", 600), deadline()), Granted
         )
 
-    play(keepers, story)
+    play(keepers, scenario)
 
 
-def test_a_newer_view_comes_with_the_refusal() -> None:
-    """The list of members changed and the relay has not heard of it.
+def test_newer_view_is_adopted_from_a_reply() -> None:
+    """The list of members has changed and the relay has the old view.
 
-    The store may be away.  A replica refuses the old number and sends its view along.
+    The store may be unreachable.  A replica rejects the request and sends its view.
     """
     keepers = Keepers(3)
 
-    async def story() -> None:
+    async def scenario() -> None:
         newer = View(2, keepers.view.members)
         for core in keepers.cores.values():
             core.adopt(newer, 0.0, 2)
         client = keepers.client
-        assert isinstance(await client.reserve(reservation("p", "a"), soon()), Granted)
+        assert isinstance(
+            await client.reserve(reservation("p", "a"), deadline()), Granted
+        )
         assert client.view.number == 2
 
-    play(keepers, story)
+    play(keepers, scenario)
 
 
-def synced_on(keepers: Keepers, program: str, turn: str) -> int:
-    """Count the keepers that hold a turn."""
+def count_synced(keepers: Keepers, program: str, turn: str) -> int:
+    """Count the keepers that store a turn."""
     accounts = [core.ledger.accounts.get(program) for core in keepers.cores.values()]
     return sum(account is not None and turn in account.turns for account in accounts)
 
 
-def test_a_kept_turn_leaves_the_relay_once() -> None:
+def test_turn_is_sent_to_one_replica_and_forwarded() -> None:
     """Relays with slow links write turns of 17 kB.
 
-    Sent to all five replicas, and again while they queued, the turns filled the link of
-    15 Mbit/s and no request got its quorum any more.  The nearest keeper passes the
-    turn on; it still counts only once three of them have synced it.
+    Sent to all five replicas, and resent while they queue, the turns fill a link of
+    15 Mbit/s, and no request reaches a quorum.  The nearest keeper must forward the
+    turn, which is still complete only when three replicas have synced it.
     """
     keepers = Keepers(5, losses=2)
 
-    async def story() -> None:
+    async def scenario() -> None:
         client = keepers.client
         first = reservation("p", "a")
-        assert isinstance(await client.reserve(first, soon()), Granted)
+        assert isinstance(await client.reserve(first, deadline()), Granted)
         keepers.sent_bytes = 0
         turn = Turn("t", "", b"x" * 17_000)
-        assert await client.settle(first, 10, (turn,), soon())
+        assert await client.settle(first, 10, (turn,), deadline())
         assert keepers.sent_bytes < 20_000
-        assert synced_on(keepers, "p", "t") == 3
+        assert count_synced(keepers, "p", "t") == 3
 
-    play(keepers, story)
+    play(keepers, scenario)
 
 
-def test_a_turn_is_kept_although_any_replica_that_is_to_pass_it_on_is_lost() -> None:
-    """A keeper dies with a turn that it should have passed on or was passed.
+def test_turn_is_durable_with_any_replica_unreachable() -> None:
+    """A keeper that should forward or receive a turn is unreachable.
 
-    The relay sends the turn itself, to all, as soon as the usual time is over; only the
-    one that was lost is passed over for the next turns.
+    The relay must resend the turn itself to all replicas after the resend interval, and
+    avoid only the unreachable replica for the next turns.
     """
     for lost in ("k0:1", "k1:1", "k2:1"):
         keepers = Keepers(3)
-        keepers.cut = {lost}
+        keepers.unreachable = {lost}
 
-        async def story(at: Keepers = keepers) -> None:
+        async def scenario(case: Keepers = keepers) -> None:
             loop = asyncio.get_running_loop()
             for number in range(4):
                 reserved = reservation("p", f"a{number}")
-                assert isinstance(await at.client.reserve(reserved, soon()), Granted)
+                assert isinstance(
+                    await case.client.reserve(reserved, deadline()), Granted
+                )
                 began = loop.time()
                 turn = Turn(f"t{number}", "", b"x")
-                assert await at.client.settle(reserved, 10, (turn,), soon())
-                assert synced_on(at, "p", f"t{number}") >= 2
+                assert await case.client.settle(reserved, 10, (turn,), deadline())
+                assert count_synced(case, "p", f"t{number}") >= 2
                 assert number == 0 or loop.time() - began < 0.05
 
-        play(keepers, story)
+        play(keepers, scenario)
 
 
-def test_a_reservation_goes_to_one_replica_more_than_must_answer() -> None:
-    """Hundreds of turns a second reserve, each on five replicas.
+def test_reservation_is_sent_to_one_extra_replica() -> None:
+    """Hundreds of turns a second reserve tokens, each on five replicas.
 
-    Asked all, relays and keepers spend two fifths of their messages on answers that
-    nobody waits for.  With one to spare the loss of one is still not noticed.
+    With requests to all five, two fifths of the messages would be for replies that are
+    not needed.  One extra replica is enough to hide the failure of one.
     """
     keepers = Keepers(5, losses=2)
 
-    async def story() -> None:
+    async def scenario() -> None:
         client = keepers.client
         loop = asyncio.get_running_loop()
         for lost in keepers.cores:
-            keepers.cut = {lost}
-            keepers.sent = 0
+            keepers.unreachable = {lost}
+            keepers.sent_count = 0
             began = loop.time()
             reserved = reservation("p", f"without {lost}")
-            assert isinstance(await client.reserve(reserved, soon()), Granted)
+            assert isinstance(await client.reserve(reserved, deadline()), Granted)
             assert loop.time() - began < 0.1
-            assert keepers.sent == 4
+            assert keepers.sent_count == 4
 
-    play(keepers, story)
+    play(keepers, scenario)
 
 
-def test_a_settlement_that_nobody_waits_for_takes_few_messages() -> None:
+def test_background_settlement_takes_few_messages() -> None:
     keepers = Keepers(5, losses=2)
 
-    async def story() -> None:
+    async def scenario() -> None:
         client = keepers.client
         first = reservation("p", "a")
-        assert isinstance(await client.reserve(first, soon()), Granted)
-        keepers.sent = 0
+        assert isinstance(await client.reserve(first, deadline()), Granted)
+        keepers.sent_count = 0
         client.settle_in_background(first, 10)
         await asyncio.sleep(0.05)
-        assert keepers.sent == 3
+        assert keepers.sent_count == 3
         assert isinstance(
-            await client.reserve(reservation("p", "b", 990), soon()), Granted
+            await client.reserve(reservation("p", "b", 990), deadline()), Granted
         )
 
-    play(keepers, story)
+    play(keepers, scenario)
 
 
-def test_a_lost_replica_delays_one_turn_and_not_the_next() -> None:
+def test_unreachable_replica_delays_only_one_turn() -> None:
     keepers = Keepers(3)
-    keepers.cut = {"k0:1"}
+    keepers.unreachable = {"k0:1"}
 
-    async def story() -> None:
+    async def scenario() -> None:
         client = keepers.client
         loop = asyncio.get_running_loop()
         times = []
         for number in range(3):
             settled = reservation("p", f"a{number}")
-            assert isinstance(await client.reserve(settled, soon()), Granted)
+            assert isinstance(await client.reserve(settled, deadline()), Granted)
             began = loop.time()
             turn = Turn(f"t{number}", "", b"x")
-            assert await client.settle(settled, 10, (turn,), soon())
+            assert await client.settle(settled, 10, (turn,), deadline())
             times.append(loop.time() - began)
         assert times[0] > 0.1
         assert max(times[1:]) < 0.05
 
-    play(keepers, story)
+    play(keepers, scenario)
 
 
-def test_a_chain_that_the_nearest_replica_lacks_comes_from_another_at_once() -> None:
+def test_chain_missing_on_nearest_replica_is_fetched_at_once() -> None:
     keepers = Keepers(3)
 
-    async def story() -> None:
+    async def scenario() -> None:
         client = keepers.client
-        keepers.cut = {"k0:1"}
+        keepers.unreachable = {"k0:1"}
         first = reservation("p", "a")
-        assert isinstance(await client.reserve(first, soon()), Granted)
+        assert isinstance(await client.reserve(first, deadline()), Granted)
         turn = Turn("t", "", b"said")
-        assert await client.settle(first, 10, (turn,), soon())
-        keepers.cut = set()
+        assert await client.settle(first, 10, (turn,), deadline())
+        keepers.unreachable = set()
         began = asyncio.get_running_loop().time()
-        granted = await client.reserve(reservation("p", "b", on="t"), soon())
+        granted = await client.reserve(reservation("p", "b", previous="t"), deadline())
         assert granted == Granted((turn,), "p")
         assert asyncio.get_running_loop().time() - began < 0.05
 
-    play(keepers, story)
+    play(keepers, scenario)
 
 
-def test_a_chain_whose_turns_lie_on_different_replicas_is_put_together() -> None:
+def test_chain_is_assembled_from_several_replicas() -> None:
     """Each turn of a chain is written to two of three replicas, not always the same.
 
-    Then the one that has all of them is lost.  None of the others has the whole chain,
-    but together they do: the caller must not be told that there is no such turn.
+    Then the replica that has all turns becomes unreachable.  Neither of the others has
+    the whole chain, but together they do: the chain must be found.
     """
     keepers = Keepers(3)
     last = ""
 
-    async def story() -> None:
+    async def scenario() -> None:
         nonlocal last
         client = keepers.client
-        for number, away in enumerate(("k2:1", "k1:1", "k2:1")):
-            keepers.cut = {away}
+        for number, unreachable in enumerate(("k2:1", "k1:1", "k2:1")):
+            keepers.unreachable = {unreachable}
             reserved = reservation("p", f"a{number}")
-            assert isinstance(await client.reserve(reserved, soon()), Granted)
+            assert isinstance(await client.reserve(reserved, deadline()), Granted)
             turn = Turn(f"t{number}", last, f"{number}".encode())
-            assert await client.settle(reserved, 1, (turn,), soon())
+            assert await client.settle(reserved, 1, (turn,), deadline())
             last = turn.id
         for core in keepers.cores.values():
             assert core.me.disk != "disk1" or not core.ledger.find("t1").chain
-        keepers.cut = {"k0:1"}
-        granted = await client.reserve(reservation("p", "b", on=last), soon())
+        keepers.unreachable = {"k0:1"}
+        granted = await client.reserve(reservation("p", "b", previous=last), deadline())
         assert isinstance(granted, Granted)
         assert [turn.said for turn in granted.chain] == [b"0", b"1", b"2"]
         assert granted.home == "p"
 
-    play(keepers, story)
+    play(keepers, scenario)
 
 
-def test_after_a_cut_requests_are_sent_again_as_soon_as_before() -> None:
-    """Settlements wait out a cut; then it heals, but single messages are still lost.
+def test_resend_interval_is_not_increased_by_a_partition() -> None:
+    """Settlements wait through a network partition; afterwards messages still get lost.
 
-    If the time that those settlements took counted as usual, the next reservation would
-    not be sent again in time, and turns would go on being refused after the cut.
+    If the latency of those settlements were sampled, the next reservation would not be
+    resent in time, and turns would still be refused after the partition has ended.
     """
     keepers = Keepers(3)
 
-    async def story() -> None:
+    async def scenario() -> None:
         client = keepers.client
         for number in range(5):
             early = reservation(f"p{number}", "a")
-            assert isinstance(await client.reserve(early, soon()), Granted)
+            assert isinstance(await client.reserve(early, deadline()), Granted)
             client.settle_in_background(early, 1)
-        keepers.cut = {"k0:1", "k1:1", "k2:1"}
+        keepers.unreachable = {"k0:1", "k1:1", "k2:1"}
         for number in range(5):
             client.settle_in_background(reservation(f"p{number}", "b"), 1)
         await asyncio.sleep(2.0)
-        keepers.cut = set()
+        keepers.unreachable = set()
         await asyncio.sleep(1.5)
-        keepers.cut = {"k0:1", "k1:1"}
-        asyncio.get_running_loop().call_later(0.1, keepers.cut.clear)
-        assert isinstance(await client.reserve(reservation("q", "c"), soon()), Granted)
+        keepers.unreachable = {"k0:1", "k1:1"}
+        asyncio.get_running_loop().call_later(0.1, keepers.unreachable.clear)
+        assert isinstance(
+            await client.reserve(reservation("q", "c"), deadline()), Granted
+        )
 
-    play(keepers, story)
+    play(keepers, scenario)
 
 
-def test_settlements_that_nobody_waits_for_are_counted_until_they_are_durable() -> None:
-    """A relay that stops must not end before them: their tokens would stay taken."""
+def test_background_settlements_are_counted_until_durable() -> None:
+    """A stopping relay must wait for them: their tokens would stay reserved."""
     keepers = Keepers(3)
 
-    async def story() -> None:
+    async def scenario() -> None:
         client = keepers.client
-        assert isinstance(await client.reserve(reservation("p", "a"), soon()), Granted)
-        keepers.cut = set(keepers.cores)
+        assert isinstance(
+            await client.reserve(reservation("p", "a"), deadline()), Granted
+        )
+        keepers.unreachable = set(keepers.cores)
         client.settle_in_background(reservation("p", "a"), 10)
         await anyio.sleep(0.2)
         assert client.pending_settlements == 1
-        keepers.cut = set()
+        keepers.unreachable = set()
         while client.pending_settlements:
             await anyio.sleep(0.05)
 
-    play(keepers, story)
+    play(keepers, scenario)
 
 
-def test_before_the_members_are_known_turns_are_told_to_come_back() -> None:
-    """Callers of a relay that has just started lose their channels.
+def test_turns_before_the_first_view_can_be_retried() -> None:
+    """A relay has just started and does not know the members of the ledger yet.
 
-    It knows routes and servers already, but not who keeps the ledger.  A turn that came
-    then ended without an answer, and its settlement, for which there was nobody to ask
-    either, ended the process and with it the requests of all others.
+    An exception for the missing members would end the turn without a response.  Its
+    background settlement would also fail and end the process with all other requests.
     """
     keepers = Keepers(3)
     keepers.client = LedgerClient("domain0", 1)
 
-    async def story() -> None:
+    async def scenario() -> None:
         client = keepers.client
-        outcome = await client.reserve(reservation("p", "a"), soon())
+        outcome = await client.reserve(reservation("p", "a"), deadline())
         assert isinstance(outcome, QuorumUnavailable)
         client.adopt_view(keepers.view)
         while client.pending_settlements:
@@ -373,4 +387,4 @@
         kept = [core.ledger.accounts.get("p") for core in keepers.cores.values()]
         assert sum(account is not None for account in kept) >= 2
 
-    play(keepers, story)
+    play(keepers, scenario)
--- a/tests/relay/test_pool.py
+++ b/tests/relay/test_pool.py
@@ -1,4 +1,4 @@
-"""Channels to backend servers, kept between requests."""
+"""Reuse of connections to backend servers."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from wisteriastair.relay.pool import ConnectionPool
 
 
-def test_no_channel_of_an_earlier_start_takes_a_request() -> None:
-    """A server crashes and starts again under its id and address.
+def test_connection_of_an_earlier_incarnation_is_not_reused() -> None:
+    """A server crashes and restarts with the same id and address.
 
-    A channel from before looks idle and open until the reset arrives.  A request sent
-    on it would be lost, and nobody could say whether it has run.
+    An old connection looks idle and open until the reset arrives.  A request sent on it
+    would be lost, and its outcome would be unknown.
     """
 
-    async def silent(exchange: Exchange) -> None:
-        raise AssertionError("nothing is sent")
+    async def unexpected(exchange: Exchange) -> None:
+        raise AssertionError("unexpected request")
 
     async def main() -> None:
-        listener = ScriptedServer("s1", silent)
+        listener = ScriptedServer("s1", unexpected)
         await listener.start()
         pool = ConnectionPool(lambda server_id: None)
         before = Server("s1", "svc", listener.address, "d", 8, False, 0.0, born=1)
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -1,4 +1,4 @@
-"""What callers see of a relay, before servers that misbehave."""
+"""Responses of a relay to callers when servers misbehave."""
 
 from __future__ import annotations
 
@@ -17,94 +17,97 @@
 }
 
 
-async def resets(exchange: Exchange) -> None:
+async def reset_connection(exchange: Exchange) -> None:
     exchange.reset()
 
 
-async def sheds(exchange: Exchange) -> None:
+async def report_full(exchange: Exchange) -> None:
     await exchange.say(
         "HTTP/1.1 503 Service Unavailable\nX-Not-Executed: 1\nContent-Length: 0\n\n"
     )
 
 
-async def streams(exchange: Exchange) -> None:
+async def stream_events(exchange: Exchange) -> None:
     await exchange.stream(*EVENTS)
 
 
-def test_answer_is_passed_on_whole_with_its_stamp() -> None:
+def test_response_is_forwarded_with_its_stamp() -> None:
     server = ScriptedServer("s1", good)
 
-    async def story(at: Stand) -> None:
-        reply = await at.ask("safe")
+    async def scenario(harness: Stand) -> None:
+        reply = await harness.request("safe")
         assert (reply.status, reply.body) == (200, b"fine")
         assert "X-Server-Stamp: s1" in reply.head
-        got = server.got[0]
-        assert got.header("X-Expect-Instance") == "s1"
-        assert 0 < int(got.header("X-Deadline-Ms")) <= 2_000
+        exchange = server.got[0]
+        assert exchange.header("X-Expect-Instance") == "s1"
+        assert 0 < int(exchange.header("X-Deadline-Ms")) <= 2_000
 
-    play([server], story)
+    play([server], scenario)
 
 
-def test_lost_answer_is_asked_again_only_if_it_may_be() -> None:
-    """Each server takes the request and resets the channel: it may have run.
+def test_only_safe_requests_are_retried_after_a_reset() -> None:
+    """Each server reads the request and resets the connection: it may have run.
 
-    A safe request is sent to the next server.  An unsafe one must not be; and since it
-    may have run, the answer must not be one that promises the opposite.
+    A safe request is sent to the next server; an unsafe one must not be.  Since it may
+    have run, its status must not be one that guarantees the opposite.
     """
-    servers = [ScriptedServer("s1", resets), ScriptedServer("s2", resets)]
+    servers = [
+        ScriptedServer("s1", reset_connection),
+        ScriptedServer("s2", reset_connection),
+    ]
 
-    async def story(at: Stand) -> None:
-        assert (await at.ask("safe", "a")).status == 502
+    async def scenario(harness: Stand) -> None:
+        assert (await harness.request("safe", "a")).status == 502
         assert sorted(len(s.got) for s in servers) == [1, 1]
-        assert (await at.ask("unsafe", "b")).status == 502
+        assert (await harness.request("unsafe", "b")).status == 502
         assert sum(len(s.got) for s in servers) == 3
 
-    play(servers, story)
+    play(servers, scenario)
 
 
-def test_refused_request_goes_to_another_server() -> None:
-    """One server is full and says so; the other one has room."""
-    servers = [ScriptedServer("s1", sheds), ScriptedServer("s2", good)]
+def test_refused_request_is_sent_to_another_server() -> None:
+    """One server reports that it is full; the other one has capacity."""
+    servers = [ScriptedServer("s1", report_full), ScriptedServer("s2", good)]
 
-    async def story(at: Stand) -> None:
+    async def scenario(harness: Stand) -> None:
         for number in range(6):
-            reply = await at.ask("unsafe", f"q{number}")
+            reply = await harness.request("unsafe", f"q{number}")
             assert reply.status == 200
 
-    play(servers, story)
+    play(servers, scenario)
 
 
-def test_refused_everywhere_tells_when_to_come_back() -> None:
-    async def story(at: Stand) -> None:
-        reply = await at.ask("unsafe")
+def test_refusal_by_all_servers_has_retry_after() -> None:
+    async def scenario(harness: Stand) -> None:
+        reply = await harness.request("unsafe")
         assert reply.status == 503
         assert "Retry-After: " in reply.head
         assert b'"ran":"no"' in reply.body
 
-    play([ScriptedServer("s1", sheds)], story)
+    play([ScriptedServer("s1", report_full)], scenario)
 
 
-def test_503_without_the_servers_word_is_no_promise() -> None:
-    """A server answers 503 but does not say that it has not run the request.
+def test_503_without_not_executed_header_is_not_forwarded() -> None:
+    """A server answers 503 without stating that it has not run the request.
 
-    Passed on as it is, the caller would take it for a promise and send it again.
+    A forwarded 503 would guarantee that to the caller, which would send it again.
     """
 
     async def bare(exchange: Exchange) -> None:
         await exchange.answer("", status="503 Service Unavailable")
 
-    async def story(at: Stand) -> None:
-        reply = await at.ask("unsafe")
+    async def scenario(harness: Stand) -> None:
+        reply = await harness.request("unsafe")
         assert reply.status == 502
         assert "X-Server-Stamp" not in reply.head
 
-    play([ScriptedServer("s1", bare)], story)
+    play([ScriptedServer("s1", bare)], scenario)
 
 
-def test_late_second_answer_is_not_given_to_the_next_request() -> None:
-    """A server sends an earlier answer once more where the next one is expected.
+def test_stale_response_is_not_given_to_the_next_request() -> None:
+    """A server repeats an earlier response before the next one.
 
-    Without the check of its id the next caller would get another caller's answer.
+    Without the check of the request id, a caller would get another caller's response.
     """
 
     async def doubles(exchange: Exchange) -> None:
@@ -115,18 +118,18 @@
             )
         await exchange.answer("fresh")
 
-    async def story(at: Stand) -> None:
-        assert (await at.ask("safe", "first")).body == b"fresh"
-        assert (await at.ask("safe", "second")).body == b"fresh"
-        assert (await at.ask("safe", "third")).body == b"fresh"
+    async def scenario(harness: Stand) -> None:
+        assert (await harness.request("safe", "first")).body == b"fresh"
+        assert (await harness.request("safe", "second")).body == b"fresh"
+        assert (await harness.request("safe", "third")).body == b"fresh"
 
-    play([ScriptedServer("s1", doubles)], story)
+    play([ScriptedServer("s1", doubles)], scenario)
 
 
-def test_answer_without_a_length_is_whole_only_at_an_orderly_end() -> None:
-    """The server gives no length; the end of the channel ends the answer.
+def test_response_without_length_is_complete_only_after_orderly_close() -> None:
+    """The server sends no length; the end of the connection ends the response.
 
-    If the channel is reset instead, what came must not pass for a whole answer.
+    If the connection is reset instead, the response must not count as complete.
     """
     ends: list[str] = []
 
@@ -141,21 +144,24 @@
             await asyncio.sleep(0.05)
             exchange.reset()
 
-    async def story(at: Stand) -> None:
+    async def scenario(harness: Stand) -> None:
         ends[:] = ["orderly"]
-        reply = await at.ask("unsafe", "a")
+        reply = await harness.request("unsafe", "a")
         assert (reply.status, reply.body) == (200, b"body")
         ends[:] = ["reset"]
-        assert (await at.ask("unsafe", "b")).status == 502
+        assert (await harness.request("unsafe", "b")).status == 502
 
-    play([ScriptedServer("s1", unframed)], story)
+    play([ScriptedServer("s1", unframed)], scenario)
 
 
-def test_caller_that_leaves_frees_the_server() -> None:
-    """The caller closes while the server works; the server must see it at once."""
+def test_disconnected_caller_releases_the_server() -> None:
+    """The caller disconnects while the server works.
 
-    async def story(at: Stand) -> None:
-        caller = await at.open()
+    The relay must close its connection to the server at once.
+    """
+
+    async def scenario(harness: Stand) -> None:
+        caller = await harness.open()
         await caller.send("unsafe", "q")
         while not server.got:
             await asyncio.sleep(0.01)
@@ -167,96 +173,100 @@
         await asyncio.sleep(5)
 
     server = ScriptedServer("s1", works)
-    play([server], story)
+    play([server], scenario)
 
 
-def test_kept_turn_gets_what_was_said_before() -> None:
-    """The second turn carries only its new input; the server needs the whole chain."""
-    server = ScriptedServer("s1", streams)
+def test_turn_with_history_gets_the_earlier_turns() -> None:
+    """The second turn contains only new input; the server must get the whole chain."""
+    server = ScriptedServer("s1", stream_events)
 
-    async def story(at: Stand) -> None:
-        first = await at.ask("turn", "t1", body="ask", **TURN)
+    async def scenario(harness: Stand) -> None:
+        first = await harness.request("turn", "t1", body="ask", **TURN)
         assert first.whole and first.body == "".join(EVENTS).encode()
-        second = await at.ask("turn", "t2", body="more", X_Previous_Turn="t1", **TURN)
+        second = await harness.request(
+            "turn", "t2", body="more", X_Previous_Turn="t1", **TURN
+        )
         assert second.whole
         assert server.got[1].body == b"askone\ntwo\nmore"
-        third = await at.ask("turn", "t3", body="", X_Previous_Turn="none", **TURN)
+        third = await harness.request(
+            "turn", "t3", body="", X_Previous_Turn="none", **TURN
+        )
         assert third.status == 404
 
-    play([server], story)
+    play([server], scenario)
 
 
-def test_turn_is_durable_before_its_end_is_passed_on() -> None:
-    """Two of three keepers are lost while a turn is streamed.
+def test_turn_is_durable_before_its_end_is_sent() -> None:
+    """Two of three keepers become unreachable while a turn is streamed.
 
-    The events have gone out, but the turn cannot be kept.  If the caller saw the end
-    it would continue from a turn that a later loss can take away.
+    The events have been sent, but the turn cannot be stored.  If the caller received
+    the end, it could continue from a turn that is not durable.
     """
 
-    async def story(at: Stand) -> None:
-        at.keepers.cut = {"k1:1", "k2:1"}
-        reply = await at.ask("turn", "t2", X_Deadline_Ms="700", **TURN)
+    async def scenario(harness: Stand) -> None:
+        harness.keepers.unreachable = {"k1:1", "k2:1"}
+        reply = await harness.request("turn", "t2", X_Deadline_Ms="700", **TURN)
         assert reply.status == 503
-        at.keepers.cut = set()
-        await at.keepers.client.probe()
+        harness.keepers.unreachable = set()
+        await harness.keepers.client.probe()
 
         async def cuts(exchange: Exchange) -> None:
             await exchange.stream(EVENTS[0], end=False)
-            at.keepers.cut = {"k1:1", "k2:1"}
+            harness.keepers.unreachable = {"k1:1", "k2:1"}
             exchange.writer.write(b"0\r\n\r\n")
 
         server.script = cuts
-        reply = await at.ask("turn", "t3", X_Deadline_Ms="700", **TURN)
+        reply = await harness.request("turn", "t3", X_Deadline_Ms="700", **TURN)
         assert reply.body == EVENTS[0].encode()
         assert not reply.whole
 
-    server = ScriptedServer("s1", streams)
-    play([server], story)
+    server = ScriptedServer("s1", stream_events)
+    play([server], scenario)
 
 
-def test_relay_that_is_cut_off_from_the_ledger_refuses_at_once() -> None:
-    """All keepers are out of reach while a caller sends turn after turn.
+def test_turns_are_refused_at_once_while_ledger_is_unreachable() -> None:
+    """All keepers are unreachable while a caller sends several turns.
 
-    The first turn waits for its limit.  After it the relay knows: the next ones are
-    refused at once, truthfully, and the platform is told to send callers elsewhere.
+    The first turn waits for its time limit.  The next ones must be refused at once, as
+    not run, and the relay must report itself not ready.
     """
-    server = ScriptedServer("s1", streams)
+    server = ScriptedServer("s1", stream_events)
 
-    async def story(at: Stand) -> None:
-        at.keepers.cut = {"k0:1", "k1:1", "k2:1"}
-        assert at.keepers.client.is_reachable
-        assert (await at.ask("turn", "t1", **TURN)).status == 503
-        assert not at.keepers.client.is_reachable
+    async def scenario(harness: Stand) -> None:
+        harness.keepers.unreachable = {"k0:1", "k1:1", "k2:1"}
+        assert harness.keepers.client.is_reachable
+        assert (await harness.request("turn", "t1", **TURN)).status == 503
+        assert not harness.keepers.client.is_reachable
         began = asyncio.get_running_loop().time()
-        reply = await at.ask("turn", "t2", **TURN)
+        reply = await harness.request("turn", "t2", **TURN)
         assert reply.status == 503 and "Retry-After: " in reply.head
         assert asyncio.get_running_loop().time() - began < 0.1
-        at.keepers.cut = set()
-        await at.keepers.client.probe()
-        assert at.keepers.client.is_reachable
-        assert (await at.ask("turn", "t3", **TURN)).status == 200
+        harness.keepers.unreachable = set()
+        await harness.keepers.client.probe()
+        assert harness.keepers.client.is_reachable
+        assert (await harness.request("turn", "t3", **TURN)).status == 200
         assert len(server.got) == 1
 
-    play([server], story)
+    play([server], scenario)
 
 
-def test_spent_budget_is_refused_before_a_server_sees_the_turn() -> None:
-    server = ScriptedServer("s1", streams)
+def test_turn_over_budget_reaches_no_server() -> None:
+    server = ScriptedServer("s1", stream_events)
 
-    async def story(at: Stand) -> None:
+    async def scenario(harness: Stand) -> None:
         turn = TURN | {"X_Token_Budget": "230"}
-        assert (await at.ask("turn", "t1", **turn)).status == 200
-        assert (await at.ask("turn", "t2", **turn)).status == 402
+        assert (await harness.request("turn", "t1", **turn)).status == 200
+        assert (await harness.request("turn", "t2", **turn)).status == 402
         assert len(server.got) == 1
 
-    play([server], story)
+    play([server], scenario)
 
 
-def test_broken_stream_that_may_be_resumed_goes_on_after_its_last_event() -> None:
-    """The server stops in the middle of the second event.
+def test_resumable_stream_continues_after_its_last_event() -> None:
+    """The server fails in the middle of the second event.
 
-    The caller gets one answer with each event once: the stream goes on after the last
-    whole event, and the half event is not passed on.
+    The caller must get one response with each event once: the stream resumes after the
+    last whole event, and the partial event is not forwarded.
     """
 
     async def breaks_once(exchange: Exchange) -> None:
@@ -268,19 +278,19 @@
         await exchange.stream(EVENTS[0], EVENTS[1][:9], end=False)
         exchange.reset()
 
-    async def story(at: Stand) -> None:
-        reply = await at.ask("talk", "q", **TURN)
+    async def scenario(harness: Stand) -> None:
+        reply = await harness.request("talk", "q", **TURN)
         assert reply.whole
         assert reply.body == "".join(EVENTS).encode()
 
-    play([ScriptedServer("s1", breaks_once)], story)
+    play([ScriptedServer("s1", breaks_once)], scenario)
 
 
-def test_a_caller_that_reads_slowly_slows_the_server() -> None:
+def test_slow_caller_applies_backpressure_to_the_server() -> None:
     """A server sends megabytes while the caller does not read.
 
-    Kept in the relay they would take its memory, and all its callers' with it.  The
-    server is made to wait instead; once the caller reads, it gets every event.
+    Buffered in the relay, they would exhaust its memory.  The relay must stop reading
+    from the server; once the caller reads, it must get every event.
     """
     event = "data: " + "x" * 50_000 + "\n\n"
     count = 240
@@ -292,40 +302,40 @@
             await exchange.stream_part(event)
         await exchange.stream_end()
 
-    async def story(at: Stand) -> None:
-        caller = await at.open()
+    async def scenario(harness: Stand) -> None:
+        caller = await harness.open()
         await caller.send("long", "q", X_Deadline_Ms="9000", **TURN)
         await asyncio.sleep(0.5)
         assert len(sent) < count
         reply = await caller.read()
         assert len(reply.body) == count * len(event)
 
-    play([ScriptedServer("s1", floods)], story)
+    play([ScriptedServer("s1", floods)], scenario)
 
 
-def test_broken_stream_that_may_not_be_resumed_ends_visibly() -> None:
+def test_broken_stream_that_is_not_resumable_is_truncated() -> None:
     async def breaks(exchange: Exchange) -> None:
         await exchange.stream(EVENTS[0], EVENTS[1][:9], end=False)
         exchange.reset()
 
-    async def story(at: Stand) -> None:
-        reply = await at.ask("turn", "q", **TURN)
+    async def scenario(harness: Stand) -> None:
+        reply = await harness.request("turn", "q", **TURN)
         assert not reply.whole
         assert reply.body == EVENTS[0].encode()
 
-    play([ScriptedServer("s1", breaks)], story)
+    play([ScriptedServer("s1", breaks)], scenario)
 
 
-def test_hidden_request_is_not_run() -> None:
-    """A request is framed in two ways, or another one lies in its body.
+def test_smuggled_request_is_not_run() -> None:
+    """Request smuggling: a body contains a request, or two headers frame the body.
 
-    Read by the wrong length, the server would run a request that no caller sent.
+    With the wrong length, the server would run a request that no caller sent.
     """
     server = ScriptedServer("s1", good)
     hidden = "POST /unsafe/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: z\r\n\r\n"
 
-    async def story(at: Stand) -> None:
-        caller = await at.open()
+    async def scenario(harness: Stand) -> None:
+        caller = await harness.open()
         await caller.send("unsafe", "a", body=hidden)
         assert (await caller.read()).status == 200
         assert server.got[0].body == hidden.encode()
@@ -337,7 +347,7 @@
         assert (await caller.read()).status == 400
         assert len(server.got) == 1
 
-    play([server], story)
+    play([server], scenario)
 
 
 def test_pipelined_requests_are_answered_in_order() -> None:
@@ -346,41 +356,41 @@
         await asyncio.sleep(0.05 if request_id == "q0" else 0)
         await exchange.answer(request_id)
 
-    async def story(at: Stand) -> None:
-        caller = await at.open()
+    async def scenario(harness: Stand) -> None:
+        caller = await harness.open()
         for number in range(5):
             await caller.send("unsafe", f"q{number}")
         for number in range(5):
             assert (await caller.read()).body == f"q{number}".encode()
 
-    play([ScriptedServer("s1", echoes)], story)
+    play([ScriptedServer("s1", echoes)], scenario)
 
 
-def test_without_a_configuration_nothing_is_denied() -> None:
-    """A relay has just started and the store is away: it cannot know any route."""
+def test_without_configuration_requests_may_be_retried() -> None:
+    """A relay has just started and the store is unreachable: it knows no route."""
 
-    async def story(at: Stand) -> None:
-        at.handler.table = None
-        reply = await at.ask("safe")
+    async def scenario(harness: Stand) -> None:
+        harness.handler.table = None
+        reply = await harness.request("safe")
         assert reply.status == 503
         assert "Retry-After: " in reply.head
 
-    play([], story)
+    play([], scenario)
 
 
-def test_an_old_configuration_denies_no_route() -> None:
-    """The store is away; a route that was added meanwhile is asked for."""
+def test_outdated_configuration_rejects_no_route() -> None:
+    """The store is unreachable; a caller uses a route that may be new."""
 
-    async def story(at: Stand) -> None:
-        assert (await at.ask("other")).status == 404
-        at.handler.is_config_current = False
-        assert (await at.ask("other")).status == 503
+    async def scenario(harness: Stand) -> None:
+        assert (await harness.request("other")).status == 404
+        harness.handler.is_config_current = False
+        assert (await harness.request("other")).status == 503
 
-    play([], story)
+    play([], scenario)
 
 
 def test_bad_requests_get_typed_errors() -> None:
-    async def story(at: Stand) -> None:
+    async def scenario(harness: Stand) -> None:
         for text, status in (
             ("GET /safe/x HTTP/1.1\r\nX-Request-Id: a\r\n\r\n", 400),
             ("GET /safe/x HTTP/1.1\r\nHost: h\r\n\r\n", 400),
@@ -391,47 +401,47 @@
                 413,
             ),
         ):
-            caller = await at.open()
+            caller = await harness.open()
             await caller.raw(text)
             reply = await caller.read()
             assert reply.status == status, text[:40]
             assert b'"code"' in reply.body
 
-    play([], story)
+    play([], scenario)
 
 
-def test_time_out_before_and_after_a_send() -> None:
-    """The server is silent until the route's limit: the request may have run."""
+def test_timeout_after_a_request_was_sent() -> None:
+    """The server does not answer before the deadline: the request may have run."""
 
     async def silent(exchange: Exchange) -> None:
         await asyncio.sleep(5)
 
-    async def story(at: Stand) -> None:
-        assert (await at.ask("unsafe", "a", X_Deadline_Ms="200")).status == 504
+    async def scenario(harness: Stand) -> None:
+        assert (await harness.request("unsafe", "a", X_Deadline_Ms="200")).status == 504
 
-    play([ScriptedServer("s1", silent)], story)
+    play([ScriptedServer("s1", silent)], scenario)
 
 
-def test_after_the_last_call_requests_are_sent_elsewhere_unseen_by_servers() -> None:
+def test_stopping_relay_refuses_new_requests() -> None:
     server = ScriptedServer("s1", good)
 
-    async def story(at: Stand) -> None:
-        at.handler.stopped_accepting = True
+    async def scenario(harness: Stand) -> None:
+        harness.handler.stopped_accepting = True
         for name in ("safe", "unsafe", "talk"):
-            reply = await at.ask(name)
+            reply = await harness.request(name)
             assert reply.status == 503
             assert b'"ran":"no"' in reply.body and b'"stopping"' in reply.body
             assert "Retry-After: 0.050" in reply.head
         assert not server.got
 
-    play([server], story)
+    play([server], scenario)
 
 
-def test_a_server_that_answers_errors_at_once_is_not_taken_for_fast() -> None:
-    """A server answers every request 500 within a millisecond, and calls itself well.
+def test_server_with_immediate_errors_is_not_preferred() -> None:
+    """A server answers every request with 500 within a millisecond.
 
-    Each error counted as a good answer: the server looked idle and the fastest of all,
-    and most calls were led to it.
+    If errors counted as successes, the server would look idle and fast, and most
+    requests would be sent to it.
     """
 
     async def broken(exchange: Exchange) -> None:
@@ -440,13 +450,13 @@
     bad = ScriptedServer("s1", broken)
     fine = ScriptedServer("s2", good)
 
-    async def story(relay: Stand) -> None:
-        other = relay.fleet.get("s2")
+    async def scenario(harness: Stand) -> None:
+        other = harness.fleet.get("s2")
         assert other is not None
         other.open = 5
         for number in range(10):
-            await relay.ask("unsafe", f"q{number}")
+            await harness.request("unsafe", f"q{number}")
         assert len(bad.got) == FAILURES_TO_REST
         assert len(fine.got) == 10 - FAILURES_TO_REST
 
-    play([bad, fine], story)
+    play([bad, fine], scenario)
--- a/tests/relay/test_silence.py
+++ b/tests/relay/test_silence.py
@@ -1,4 +1,4 @@
-"""What callers see of a server that takes their requests and answers none."""
+"""A server that accepts requests and does not answer them."""
 
 from __future__ import annotations
 
@@ -9,43 +9,43 @@
 WARM = 20
 
 
-async def hangs(exchange: Exchange) -> None:
+async def hang(exchange: Exchange) -> None:
     await asyncio.sleep(5)
 
 
-def test_a_silent_server_costs_a_repeatable_request_little() -> None:
-    """One of two servers turns silent; the other answers in milliseconds.
+def test_safe_request_is_retried_if_the_server_is_unresponsive() -> None:
+    """One of two servers stops answering; the other answers in milliseconds.
 
-    A caller's lookup goes to the silent one and would wait there for all of its time,
-    with its program.  It is sent to the other one, which is harmless for a lookup.
+    A lookup sent to the unresponsive server would wait there until its deadline.  It is
+    sent to the other server as well, which is harmless for a lookup.
     """
     servers = [ScriptedServer("s1", good), ScriptedServer("s2", good)]
 
-    async def story(at: Stand) -> None:
+    async def scenario(harness: Stand) -> None:
         for number in range(WARM):
-            assert (await at.ask("safe", f"warm{number}")).status == 200
-        # The one that has an idle channel, which the next request takes.
-        max(servers, key=lambda server: len(server.got)).script = hangs
+            assert (await harness.request("safe", f"warm{number}")).status == 200
+        # The server with an idle connection, which the next request uses.
+        max(servers, key=lambda server: len(server.got)).script = hang
         before = asyncio.get_running_loop().time()
         for number in range(4):
-            assert (await at.ask("safe", f"q{number}")).status == 200
+            assert (await harness.request("safe", f"q{number}")).status == 200
         assert asyncio.get_running_loop().time() - before < 2.0
 
-    play(servers, story)
+    play(servers, scenario)
 
 
-def test_a_request_that_must_not_run_twice_stays_where_it_is() -> None:
-    """The same, but the request books something; a second server would book again."""
+def test_unsafe_request_is_not_retried_if_the_server_is_unresponsive() -> None:
+    """The same, but with an unsafe request, which a second server would run again."""
     servers = [ScriptedServer("s1", good), ScriptedServer("s2", good)]
 
-    async def story(at: Stand) -> None:
+    async def scenario(harness: Stand) -> None:
         for number in range(WARM):
-            assert (await at.ask("unsafe", f"warm{number}")).status == 200
+            assert (await harness.request("unsafe", f"warm{number}")).status == 200
         for server in servers:
-            server.script = hangs
+            server.script = hang
             server.got.clear()
-        reply = await at.ask("unsafe", "once", X_Deadline_Ms="700")
+        reply = await harness.request("unsafe", "once", X_Deadline_Ms="700")
         assert reply.status == 504
         assert sum(len(server.got) for server in servers) == 1
 
-    play(servers, story)
+    play(servers, scenario)
--- a/tests/relay/test_stopping.py
+++ b/tests/relay/test_stopping.py
@@ -1,4 +1,4 @@
-"""The end of a relay that was told to stop: what it has read, it also answers."""
+"""Planned stop of a relay: every request that it has read is answered."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     OTHER_KEEPER_IP,
     OTHER_RELAY_IP,
     RELAY_IP,
-    Machines,
+    Deployment,
     free_port,
     play,
 )
@@ -39,8 +39,8 @@
 from wisteriastair.platform.settings import load_settings
 from wisteriastair.relay.daemon import Relay
 
-LARGE = "x" * (7 * 1024 * 1024)
-PIECE = 64 * 1024
+LARGE_BODY = "x" * (7 * 1024 * 1024)
+CHUNK_BYTES = 64 * 1024
 
 
 async def good(exchange: Exchange) -> None:
@@ -48,10 +48,21 @@
 
 
 async def read_slowly(request_id: str, port: int, rate: float) -> tuple[str, int]:
-    """Ask on a new channel and read the answer at some bytes a second."""
+    """Send a request on a new connection and read the response at a limited rate.
+
+    Parameters
+    ----------
+    rate : float
+        Bytes per second.
+
+    Returns
+    -------
+    tuple of str and int
+        Status line, and length of the body.
+    """
     loop = asyncio.get_running_loop()
     sock = socket.socket()
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, PIECE)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, CHUNK_BYTES)
     sock.setblocking(False)
     await loop.sock_connect(sock, (RELAY_IP, port))
     head = (
@@ -59,61 +70,59 @@
         f"X-Request-Id: {request_id}\r\nX-Deadline-Ms: 5000\r\n\r\n"
     )
     await loop.sock_sendall(sock, head.encode())
-    got = b""
+    received = b""
     began = loop.time()
     try:
-        while data := await loop.sock_recv(sock, PIECE):
-            got += data
-            await anyio.sleep(max(0.0, began + len(got) / rate - loop.time()))
+        while data := await loop.sock_recv(sock, CHUNK_BYTES):
+            received += data
+            await anyio.sleep(max(0.0, began + len(received) / rate - loop.time()))
     except ConnectionError:
         pass
     sock.close()
-    first, _, body = got.partition(b"\r\n\r\n")
+    first, _, body = received.partition(b"\r\n\r\n")
     return first.decode().partition("\r\n")[0], len(body)
 
 
-def test_an_answer_that_its_caller_still_reads_is_not_cut(tmp_path: Path) -> None:
-    """A caller reads 7 MB at 2 MB/s, and its answer breaks off.
+def test_stop_does_not_truncate_a_response_being_read(tmp_path: Path) -> None:
+    """A caller reads a response of 7 MB at 2 MB/s while the relay stops.
 
-    That takes 3.5 s of the 6.3 s that the stop still has.  The relay had nothing more
-    to do for the request once it had handed the answer to its socket, and ended with
-    the rest of it unsent: 6,797,047 of 7,340,032 bytes came through.
+    That takes 3.5 s of the remaining 6.3 s.  A relay that ends as soon as the response
+    is in its write buffer truncates it: 6,797,047 of 7,340,032 bytes were received.
     """
 
     async def large(exchange: Exchange) -> None:
         big = exchange.header("X-Request-Id") == "big"
-        await exchange.answer(LARGE if big else "fine")
+        await exchange.answer(LARGE_BODY if big else "fine")
 
-    async def story(
-        machines: Machines, store: StoreStandin, stack: AsyncExitStack
+    async def scenario(
+        deployment: Deployment, store: StoreStandin, stack: AsyncExitStack
     ) -> None:
-        relay = await stack.enter_async_context(machines.run("relay", RELAY_IP))
-        await machines.until_served()
+        relay = await stack.enter_async_context(deployment.run("relay", RELAY_IP))
+        await deployment.wait_until_served()
         relay.send_signal(signal.SIGTERM)
         await anyio.sleep(1.0)
-        status, size = await read_slowly("big", machines.front, 2_000_000)
+        status, size = await read_slowly("big", deployment.front, 2_000_000)
         assert status.startswith("HTTP/1.1 200")
-        assert size == len(LARGE)
+        assert size == len(LARGE_BODY)
         assert await anyio.to_thread.run_sync(relay.wait) == 0
 
-    play(ScriptedServer("s1", large), tmp_path, story)
+    play(ScriptedServer("s1", large), tmp_path, scenario)
 
 
-def test_a_caller_that_sends_its_body_over_the_last_call_is_answered(
+def test_request_arriving_while_acceptance_ends_is_answered(
     tmp_path: Path,
 ) -> None:
-    """The head comes 0.6 s before the last call, the rest 0.7 s behind it.
+    """A request starts 0.6 s before the relay stops accepting, and ends 0.7 s after.
 
-    The relay had nothing under way at the last call and ended, so the caller sent the
-    rest of its request to nobody.
+    A relay that ends when it has no complete request would not answer this one.
     """
 
-    async def story(
-        machines: Machines, store: StoreStandin, stack: AsyncExitStack
+    async def scenario(
+        deployment: Deployment, store: StoreStandin, stack: AsyncExitStack
     ) -> None:
-        relay = await stack.enter_async_context(machines.run("relay", RELAY_IP))
-        await machines.until_served()
-        caller = await machines.open(machines.front)
+        relay = await stack.enter_async_context(deployment.run("relay", RELAY_IP))
+        await deployment.wait_until_served()
+        caller = await deployment.open(deployment.front)
         relay.send_signal(signal.SIGTERM)
         await anyio.sleep(1.9)
         await caller.raw(
@@ -128,16 +137,16 @@
             reply = Reply(0, "", b"", False)
         assert reply.status in (200, 503)
 
-    play(ScriptedServer("s1", good), tmp_path, story)
+    play(ScriptedServer("s1", good), tmp_path, scenario)
 
 
-def test_a_relay_that_stood_still_over_its_end_takes_nothing_more(
+def test_relay_suspended_during_its_stop_accepts_no_request(
     tmp_path: Path,
 ) -> None:
-    """A process is told to stop, freezes, and wakes when its stop should be over.
+    """A stopping process is suspended, and resumes when its stop should be over.
 
-    A request that came meanwhile was passed on to a server and broken off at once: the
-    relay looked at the clock only every 50 ms, and took requests until then.
+    A request that arrived meanwhile must not be sent to a server, since it would be cut
+    at once.  A relay that checks the time only every 50 ms would still accept it.
     """
 
     async def slow(exchange: Exchange) -> None:
@@ -147,12 +156,12 @@
 
     server = ScriptedServer("s1", slow)
 
-    async def story(
-        machines: Machines, store: StoreStandin, stack: AsyncExitStack
+    async def scenario(
+        deployment: Deployment, store: StoreStandin, stack: AsyncExitStack
     ) -> None:
-        relay = await stack.enter_async_context(machines.run("relay", RELAY_IP))
-        await machines.until_served()
-        caller = await machines.open(machines.front)
+        relay = await stack.enter_async_context(deployment.run("relay", RELAY_IP))
+        await deployment.wait_until_served()
+        caller = await deployment.open(deployment.front)
         await anyio.sleep(0.1)
         relay.send_signal(signal.SIGTERM)
         await anyio.sleep(0.3)
@@ -165,18 +174,18 @@
         assert reply.status == 503
         assert "late" not in ran
 
-    play(server, tmp_path, story)
+    play(server, tmp_path, scenario)
 
 
 @pytest.mark.parametrize("turns", range(8))
-def test_a_caller_that_comes_as_the_last_channel_goes_is_not_cut(
+def test_caller_connecting_as_the_last_connection_closes_is_not_cut(
     turns: int, tmp_path: Path
 ) -> None:
-    """A stop ends early once no channel is left; a caller comes at that moment.
+    """A stop ends early once no connection is left; a caller connects at that moment.
 
-    A channel that was accepted is known some turns of the loop later.  Served as ever
-    in the moment before the process ends, its request would reach a server and get no
-    answer; how many turns lie between decides.
+    An accepted connection is registered some loop iterations later.  If it were served
+    just before the process ends, its request would reach a server and get no response.
+    The test tries several numbers of iterations in between.
     """
 
     async def slow(exchange: Exchange) -> None:
@@ -219,7 +228,7 @@
         await anyio.sleep(0.1)
         late.settimeout(0.1)
         try:
-            reply = late.recv(PIECE)
+            reply = late.recv(CHUNK_BYTES)
         except OSError:
             reply = b""
         late.close()
@@ -248,14 +257,14 @@
     return cfg
 
 
-def test_a_turn_that_the_stop_breaks_off_gives_back_what_it_did_not_use(
+def test_turn_aborted_by_the_stop_releases_unused_tokens(
     tmp_path: Path,
 ) -> None:
-    """A program is told that its budget is spent, with 950 of 1,000 tokens left.
+    """A program's budget is reported as spent, with 950 of 1,000 tokens left.
 
-    A turn that had reserved 900 tokens was broken off at the end of the grace period,
-    after two events, 50 tokens.  The process ended before it had settled the turn, so
-    all 900 stayed taken.  The next turn needs 200.
+    A turn that has reserved 900 tokens is aborted at the end of the grace period, after
+    two events (50 tokens).  If the process ends before it has settled the turn, all 900
+    tokens stay reserved, and the next turn, which needs 200, is refused.
     """
 
     async def streams(exchange: Exchange) -> None:
@@ -267,8 +276,8 @@
             await asyncio.sleep(20)
         await exchange.stream_end()
 
-    async def turn(machines: Machines, ip: str, name: str, tokens: int) -> Reply:
-        caller = await machines.open(machines.front, ip)
+    async def turn(deployment: Deployment, ip: str, name: str, tokens: int) -> Reply:
+        caller = await deployment.open(deployment.front, ip)
         await caller.send(
             "long",
             name,
@@ -279,22 +288,22 @@
         )
         return await caller.read()
 
-    async def story(
-        machines: Machines, store: StoreStandin, stack: AsyncExitStack
+    async def scenario(
+        deployment: Deployment, store: StoreStandin, stack: AsyncExitStack
     ) -> None:
         store.put("op/config", json.dumps(LONG_TURNS).encode())
         for ip in (KEEPER_IP, OTHER_KEEPER_IP):
-            await stack.enter_async_context(machines.run("keeper", ip))
+            await stack.enter_async_context(deployment.run("keeper", ip))
         relay, _ = [
-            await stack.enter_async_context(machines.run("relay", ip))
+            await stack.enter_async_context(deployment.run("relay", ip))
             for ip in (RELAY_IP, OTHER_RELAY_IP)
         ]
         for ip in (RELAY_IP, OTHER_RELAY_IP):
-            assert (await machines.take_turn(ip, f"first-{ip}", ip)).status == 200
+            assert (await deployment.run_turn(ip, f"first-{ip}", ip)).status == 200
         replies: list[Reply] = []
 
         async def ask() -> None:
-            replies.append(await turn(machines, RELAY_IP, "cut", 900))
+            replies.append(await turn(deployment, RELAY_IP, "cut", 900))
 
         async with anyio.create_task_group() as group:
             group.start_soon(ask)
@@ -302,10 +311,10 @@
             relay.send_signal(signal.SIGTERM)
         assert not replies[0].whole
         assert await anyio.to_thread.run_sync(relay.wait) == 0
-        after = await turn(machines, OTHER_RELAY_IP, "after", 200)
+        after = await turn(deployment, OTHER_RELAY_IP, "after", 200)
         assert after.status == 200, after.body
 
-    play(ScriptedServer("s1", streams), tmp_path, story)
+    play(ScriptedServer("s1", streams), tmp_path, scenario)
 
 
 LONG_TURNS = {
