--- a/tests/relay/test_pool.py
+++ b/tests/relay/test_pool.py
@@ -26,14 +26,14 @@
         pool = ConnectionPool(lambda server_id: None)
         before = Server("s1", "svc", listener.address, "d", 8, False, 0.0, born=1)
         after = before._replace(born=2)
-        kept = await pool.acquire(before)
-        assert isinstance(kept, ServerChannel)
-        pool._idle[before.start] = [kept]
+        old_conn = await pool.acquire(before)
+        assert isinstance(old_conn, ServerChannel)
+        pool._idle[before.start] = [old_conn]
         assert pool.idle_incarnations() == {before.start}
-        fresh = await pool.acquire(after)
-        assert fresh is not kept
+        new_conn = await pool.acquire(after)
+        assert new_conn is not old_conn
         pool.close_unused([before])
-        assert kept.closed and not pool.idle_incarnations()
+        assert old_conn.closed and not pool.idle_incarnations()
         listener.stop()
 
     anyio.run(main)
--- a/wisteriastair/relay/__init__.py
+++ b/wisteriastair/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Relays: entry instances that pass callers' requests on to backend servers."""
+"""Relays: entry instances that forward callers' requests to backend servers."""
