--- a/tests/relay/stand.py
+++ b/tests/relay/stand.py
@@ -114,7 +114,7 @@
         self.id = server_id
         self.script = script
         self.got: list[Exchange] = []
-        self.connection_count = 0
+        self.connections_accepted = 0
         self.address = ""
         self._server: asyncio.Server
 
@@ -129,7 +129,7 @@
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        self.connection_count += 1
+        self.connections_accepted += 1
         try:
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode()
--- a/wisteriastair/relay/streams.py
+++ b/wisteriastair/relay/streams.py
@@ -32,7 +32,7 @@
 )
 from .plain import (
     MAX_REFUSALS,
-    MAX_RESPONSE_BYTES,
+    MAX_ANSWER_BYTES,
     NOT_RUN_STATUSES,
     RETRY_AFTER_S,
     SUCCESS_STATUSES,
@@ -237,7 +237,7 @@
         self, turn: _TurnState, started: ResponseStarted
     ) -> NotRun | OutcomeUnknown | None:
         job = turn.job
-        body = await read_body(started.exchange, MAX_RESPONSE_BYTES)
+        body = await read_body(started.exchange, MAX_ANSWER_BYTES)
         status = started.head.status
         if isinstance(body, str) or status in NOT_RUN_STATUSES or turn.response_started:
             return OutcomeUnknown(started.state.server.id, f"status {status}")
