--- a/tests/relay/test_daemon.py
+++ b/tests/relay/test_daemon.py
@@ -12,6 +12,7 @@
 import anyio.to_thread
 
 from tests.platform.standin_store import StoreStandin
+from tests.relay.harness import Caller, Exchange, Reply, ScriptedServer
 from tests.relay.machines import (
     CONFIG,
     KEEPER_IP,
@@ -20,11 +21,10 @@
     RELAY_IP,
     UNREACHABLE_STORE,
     Deployment,
-    play,
+    run_scenario,
     server_entry,
 )
-from tests.relay.stand import Caller, Exchange, Reply, ScriptedServer
-from wisteriastair.core.stopping import NOTICE_S
+from wisteriastair.core.stopping import REROUTE_S
 
 # Time until a new configuration is in force (``configMs``).
 CHANGE_S = 2.0
@@ -62,7 +62,7 @@
         assert "Connection: close" in reply.head
         assert await anyio.to_thread.run_sync(relay.wait) == 0
 
-    play(ScriptedServer("s1", slow), tmp_path, scenario)
+    run_scenario(ScriptedServer("s1", slow), tmp_path, scenario)
 
 
 def test_stopping_relay_answers_every_accepted_request(tmp_path: Path) -> None:
@@ -105,7 +105,7 @@
                 callers.start_soon(ask, f"late-{number}")
                 await anyio.sleep(0.1)
         assert relay.returncode == 0
-        ran = {exchange.header("X-Request-Id") for exchange in server.got}
+        ran = {exchange.header("X-Request-Id") for exchange in server.exchanges}
         ended = [replies[name].status for name in replies if name in ran]
         assert ended and set(ended) == {200}
         refused = [reply for name, reply in replies.items() if name not in ran]
@@ -115,7 +115,7 @@
         assert all("retry-after: " in head for head in heads)
         assert all("connection: close" in head for head in heads)
 
-    play(server, tmp_path, scenario)
+    run_scenario(server, tmp_path, scenario)
 
 
 def test_stopping_relay_settles_its_last_turns(tmp_path: Path) -> None:
@@ -128,10 +128,10 @@
     ending = anyio.Event()
 
     async def talk(exchange: Exchange) -> None:
-        await exchange.stream_part("id: 1\ndata: one\n\n")
+        await exchange.send_event("id: 1\ndata: one\n\n")
         if exchange.header("X-Request-Id").startswith("last"):
             await ending.wait()
-        await exchange.stream_end()
+        await exchange.end_stream()
 
     server = ScriptedServer("s1", talk)
 
@@ -152,7 +152,7 @@
             first = await deployment.run_turn(ip, f"first-{ip}", f"first-{ip}")
             assert first.status == 200
         relay.send_signal(signal.SIGTERM)
-        await anyio.sleep(NOTICE_S - 0.5)
+        await anyio.sleep(REROUTE_S - 0.5)
         replies: list[Reply] = []
 
         async def run_last_turn() -> None:
@@ -173,7 +173,7 @@
         after = await deployment.run_turn(OTHER_RELAY_IP, "p", "after")
         assert after.status == 200, after.body
 
-    play(server, tmp_path, scenario)
+    run_scenario(server, tmp_path, scenario)
 
 
 def test_start_without_store_uses_documents_of_a_keeper(
@@ -185,7 +185,7 @@
     until the store is reachable again.
     """
 
-    async def good(exchange: Exchange) -> None:
+    async def answer_ok(exchange: Exchange) -> None:
         await exchange.answer("fine")
 
     async def scenario(
@@ -199,7 +199,7 @@
         await stack.enter_async_context(deployment.run("relay", RELAY_IP))
         await deployment.wait_until_served()
 
-    play(ScriptedServer("s1", good), tmp_path, scenario)
+    run_scenario(ScriptedServer("s1", answer_ok), tmp_path, scenario)
 
 
 def test_start_without_store_misses_no_change(
@@ -207,7 +207,7 @@
 ) -> None:
     """Guards against missing a change between a keeper's documents and first update."""
 
-    async def good(exchange: Exchange) -> None:
+    async def answer_ok(exchange: Exchange) -> None:
         await exchange.answer("fine")
 
     async def scenario(
@@ -226,7 +226,7 @@
         await anyio.sleep(CHANGE_S)
         assert (await deployment.request("new", "moved")).status == 200
 
-    play(ScriptedServer("s1", good), tmp_path, scenario)
+    run_scenario(ScriptedServer("s1", answer_ok), tmp_path, scenario)
 
 
 def test_invalid_server_entries_are_ignored(
@@ -238,10 +238,10 @@
     invalid one, callers must be told to retry later.
     """
 
-    async def good(exchange: Exchange) -> None:
+    async def answer_ok(exchange: Exchange) -> None:
         await exchange.answer("fine")
 
-    server = ScriptedServer("s1", good)
+    server = ScriptedServer("s1", answer_ok)
 
     async def scenario(
         deployment: Deployment, store: StoreStandin, stack: AsyncExitStack
@@ -262,4 +262,4 @@
         while (await deployment.request(f"again-{store.revision}")).status != 200:
             await anyio.sleep(0.05)
 
-    play(server, tmp_path, scenario)
+    run_scenario(server, tmp_path, scenario)
--- a/tests/relay/test_ledger.py
+++ b/tests/relay/test_ledger.py
@@ -36,7 +36,7 @@
     return Reservation(program, attempt, tokens, budget, 60.0, previous)
 
 
-def play(keepers: Keepers, scenario: Callable[[], Awaitable[Any]]) -> None:
+def run_scenario(keepers: Keepers, scenario: Callable[[], Awaitable[Any]]) -> None:
     async def main() -> None:
         async with anyio.create_task_group() as group:
             transport = cast(Transport[LedgerMessage], keepers)
@@ -79,7 +79,7 @@
             )
             assert after == Granted((turn, more), new.program)
 
-    play(keepers, scenario)
+    run_scenario(keepers, scenario)
 
 
 def test_turn_not_found_requires_a_read_quorum() -> None:
@@ -98,7 +98,7 @@
         outcome = await client.reserve(reservation("p", "b", previous="t9"), deadline())
         assert isinstance(outcome, QuorumUnavailable)
 
-    play(keepers, scenario)
+    run_scenario(keepers, scenario)
 
 
 def test_unreachable_replica_does_not_delay_a_reservation() -> None:
@@ -112,7 +112,7 @@
         )
         assert client.resend_count == 0
 
-    play(keepers, scenario)
+    run_scenario(keepers, scenario)
 
 
 def test_settlement_releases_unused_tokens() -> None:
@@ -131,7 +131,7 @@
             await client.reserve(reservation("p", "c", 600), deadline()), Granted
         )
 
-    play(keepers, scenario)
+    run_scenario(keepers, scenario)
 
 
 def test_newer_view_is_adopted_from_a_reply() -> None:
@@ -151,7 +151,7 @@
         )
         assert client.view.number == 2
 
-    play(keepers, scenario)
+    run_scenario(keepers, scenario)
 
 
 def count_synced(keepers: Keepers, program: str, turn: str) -> int:
@@ -167,7 +167,7 @@
     15 Mbit/s, and no request reaches a quorum.  The nearest keeper must forward the
     turn, which is still complete only when three replicas have synced it.
     """
-    keepers = Keepers(5, losses=2)
+    keepers = Keepers(5, max_failures=2)
 
     async def scenario() -> None:
         client = keepers.client
@@ -179,7 +179,7 @@
         assert keepers.sent_bytes < 20_000
         assert count_synced(keepers, "p", "t") == 3
 
-    play(keepers, scenario)
+    run_scenario(keepers, scenario)
 
 
 def test_turn_is_durable_with_any_replica_unreachable() -> None:
@@ -205,7 +205,7 @@
                 assert count_synced(case, "p", f"t{number}") >= 2
                 assert number == 0 or loop.time() - began < 0.05
 
-        play(keepers, scenario)
+        run_scenario(keepers, scenario)
 
 
 def test_reservation_is_sent_to_one_extra_replica() -> None:
@@ -214,7 +214,7 @@
     With requests to all five, two fifths of the messages would be for replies that are
     not needed.  One extra replica is enough to hide the failure of one.
     """
-    keepers = Keepers(5, losses=2)
+    keepers = Keepers(5, max_failures=2)
 
     async def scenario() -> None:
         client = keepers.client
@@ -228,11 +228,11 @@
             assert loop.time() - began < 0.1
             assert keepers.sent_count == 4
 
-    play(keepers, scenario)
+    run_scenario(keepers, scenario)
 
 
 def test_background_settlement_takes_few_messages() -> None:
-    keepers = Keepers(5, losses=2)
+    keepers = Keepers(5, max_failures=2)
 
     async def scenario() -> None:
         client = keepers.client
@@ -246,7 +246,7 @@
             await client.reserve(reservation("p", "b", 990), deadline()), Granted
         )
 
-    play(keepers, scenario)
+    run_scenario(keepers, scenario)
 
 
 def test_unreachable_replica_delays_only_one_turn() -> None:
@@ -267,7 +267,7 @@
         assert times[0] > 0.1
         assert max(times[1:]) < 0.05
 
-    play(keepers, scenario)
+    run_scenario(keepers, scenario)
 
 
 def test_chain_missing_on_nearest_replica_is_fetched_at_once() -> None:
@@ -286,7 +286,7 @@
         assert granted == Granted((turn,), "p")
         assert asyncio.get_running_loop().time() - began < 0.05
 
-    play(keepers, scenario)
+    run_scenario(keepers, scenario)
 
 
 def test_chain_is_assembled_from_several_replicas() -> None:
@@ -313,10 +313,10 @@
         keepers.unreachable = {"k0:1"}
         granted = await client.reserve(reservation("p", "b", previous=last), deadline())
         assert isinstance(granted, Granted)
-        assert [turn.said for turn in granted.chain] == [b"0", b"1", b"2"]
-        assert granted.home == "p"
+        assert [turn.content for turn in granted.chain] == [b"0", b"1", b"2"]
+        assert granted.chain_program == "p"
 
-    play(keepers, scenario)
+    run_scenario(keepers, scenario)
 
 
 def test_resend_interval_is_not_increased_by_a_partition() -> None:
@@ -345,7 +345,7 @@
             await client.reserve(reservation("q", "c"), deadline()), Granted
         )
 
-    play(keepers, scenario)
+    run_scenario(keepers, scenario)
 
 
 def test_background_settlements_are_counted_until_durable() -> None:
@@ -365,7 +365,7 @@
         while client.pending_settlements:
             await anyio.sleep(0.05)
 
-    play(keepers, scenario)
+    run_scenario(keepers, scenario)
 
 
 def test_turns_before_the_first_view_can_be_retried() -> None:
@@ -387,4 +387,4 @@
         kept = [core.ledger.accounts.get("p") for core in keepers.cores.values()]
         assert sum(account is not None for account in kept) >= 2
 
-    play(keepers, scenario)
+    run_scenario(keepers, scenario)
--- a/tests/relay/test_pool.py
+++ b/tests/relay/test_pool.py
@@ -4,9 +4,9 @@
 
 import anyio
 
-from tests.relay.stand import Exchange, ScriptedServer
+from tests.relay.harness import Exchange, ScriptedServer
 from wisteriastair.core.fleet import Server
-from wisteriastair.http1.server import ServerChannel
+from wisteriastair.http1.server import ServerConnection
 from wisteriastair.relay.pool import ConnectionPool
 
 
@@ -27,9 +27,9 @@
         before = Server("s1", "svc", listener.address, "d", 8, False, 0.0, born=1)
         after = before._replace(born=2)
         old_conn = await pool.acquire(before)
-        assert isinstance(old_conn, ServerChannel)
-        pool._idle[before.start] = [old_conn]
-        assert pool.idle_incarnations() == {before.start}
+        assert isinstance(old_conn, ServerConnection)
+        pool._idle[before.incarnation] = [old_conn]
+        assert pool.idle_incarnations() == {before.incarnation}
         new_conn = await pool.acquire(after)
         assert new_conn is not old_conn
         pool.close_unused([before])
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -6,8 +6,14 @@
 
 import anyio
 
-from tests.relay.stand import Exchange, ScriptedServer, Stand, good, play
-from wisteriastair.core.fleet import FAILURES_TO_REST
+from tests.relay.harness import (
+    Exchange,
+    RelayHarness,
+    ScriptedServer,
+    answer_ok,
+    run_scenario,
+)
+from wisteriastair.core.fleet import EJECTION_FAILURES
 
 EVENTS = ("id: 1\ndata: one\n\n", "id: 2\ndata: two\n\n")
 TURN = {
@@ -22,7 +28,7 @@
 
 
 async def report_full(exchange: Exchange) -> None:
-    await exchange.say(
+    await exchange.write_text(
         "HTTP/1.1 503 Service Unavailable\nX-Not-Executed: 1\nContent-Length: 0\n\n"
     )
 
@@ -32,17 +38,17 @@
 
 
 def test_response_is_forwarded_with_its_stamp() -> None:
-    server = ScriptedServer("s1", good)
+    server = ScriptedServer("s1", answer_ok)
 
-    async def scenario(harness: Stand) -> None:
+    async def scenario(harness: RelayHarness) -> None:
         reply = await harness.request("safe")
         assert (reply.status, reply.body) == (200, b"fine")
         assert "X-Server-Stamp: s1" in reply.head
-        exchange = server.got[0]
+        exchange = server.exchanges[0]
         assert exchange.header("X-Expect-Instance") == "s1"
         assert 0 < int(exchange.header("X-Deadline-Ms")) <= 2_000
 
-    play([server], scenario)
+    run_scenario([server], scenario)
 
 
 def test_only_safe_requests_are_retried_after_a_reset() -> None:
@@ -56,35 +62,35 @@
         ScriptedServer("s2", reset_connection),
     ]
 
-    async def scenario(harness: Stand) -> None:
+    async def scenario(harness: RelayHarness) -> None:
         assert (await harness.request("safe", "a")).status == 502
-        assert sorted(len(s.got) for s in servers) == [1, 1]
+        assert sorted(len(s.exchanges) for s in servers) == [1, 1]
         assert (await harness.request("unsafe", "b")).status == 502
-        assert sum(len(s.got) for s in servers) == 3
+        assert sum(len(s.exchanges) for s in servers) == 3
 
-    play(servers, scenario)
+    run_scenario(servers, scenario)
 
 
 def test_refused_request_is_sent_to_another_server() -> None:
     """One server reports that it is full; the other one has capacity."""
-    servers = [ScriptedServer("s1", report_full), ScriptedServer("s2", good)]
+    servers = [ScriptedServer("s1", report_full), ScriptedServer("s2", answer_ok)]
 
-    async def scenario(harness: Stand) -> None:
+    async def scenario(harness: RelayHarness) -> None:
         for number in range(6):
             reply = await harness.request("unsafe", f"q{number}")
             assert reply.status == 200
 
-    play(servers, scenario)
+    run_scenario(servers, scenario)
 
 
 def test_refusal_by_all_servers_has_retry_after() -> None:
-    async def scenario(harness: Stand) -> None:
+    async def scenario(harness: RelayHarness) -> None:
         reply = await harness.request("unsafe")
         assert reply.status == 503
         assert "Retry-After: " in reply.head
         assert b'"ran":"no"' in reply.body
 
-    play([ScriptedServer("s1", report_full)], scenario)
+    run_scenario([ScriptedServer("s1", report_full)], scenario)
 
 
 def test_503_without_not_executed_header_is_not_forwarded() -> None:
@@ -96,12 +102,12 @@
     async def bare(exchange: Exchange) -> None:
         await exchange.answer("", status="503 Service Unavailable")
 
-    async def scenario(harness: Stand) -> None:
+    async def scenario(harness: RelayHarness) -> None:
         reply = await harness.request("unsafe")
         assert reply.status == 502
         assert "X-Server-Stamp" not in reply.head
 
-    play([ScriptedServer("s1", bare)], scenario)
+    run_scenario([ScriptedServer("s1", bare)], scenario)
 
 
 def test_stale_response_is_not_given_to_the_next_request() -> None:
@@ -112,18 +118,18 @@
 
     async def doubles(exchange: Exchange) -> None:
         if exchange.header("X-Request-Id") == "second":
-            await exchange.say(
+            await exchange.write_text(
                 "HTTP/1.1 200 OK\nX-Request-Id: first\nX-Server-Stamp: s1\n"
                 "Content-Length: 5\n\nstale"
             )
         await exchange.answer("fresh")
 
-    async def scenario(harness: Stand) -> None:
+    async def scenario(harness: RelayHarness) -> None:
         assert (await harness.request("safe", "first")).body == b"fresh"
         assert (await harness.request("safe", "second")).body == b"fresh"
         assert (await harness.request("safe", "third")).body == b"fresh"
 
-    play([ScriptedServer("s1", doubles)], scenario)
+    run_scenario([ScriptedServer("s1", doubles)], scenario)
 
 
 def test_response_without_length_is_complete_only_after_orderly_close() -> None:
@@ -135,7 +141,7 @@
 
     async def unframed(exchange: Exchange) -> None:
         request_id = exchange.header("X-Request-Id")
-        await exchange.say(
+        await exchange.write_text(
             f"HTTP/1.1 200 OK\nX-Request-Id: {request_id}\nX-Server-Stamp: s1\n\nbody"
         )
         if ends.pop(0) == "orderly":
@@ -144,14 +150,14 @@
             await asyncio.sleep(0.05)
             exchange.reset()
 
-    async def scenario(harness: Stand) -> None:
+    async def scenario(harness: RelayHarness) -> None:
         ends[:] = ["orderly"]
         reply = await harness.request("unsafe", "a")
         assert (reply.status, reply.body) == (200, b"body")
         ends[:] = ["reset"]
         assert (await harness.request("unsafe", "b")).status == 502
 
-    play([ScriptedServer("s1", unframed)], scenario)
+    run_scenario([ScriptedServer("s1", unframed)], scenario)
 
 
 def test_disconnected_caller_releases_the_server() -> None:
@@ -160,40 +166,40 @@
     The relay must close its connection to the server at once.
     """
 
-    async def scenario(harness: Stand) -> None:
+    async def scenario(harness: RelayHarness) -> None:
         caller = await harness.open()
         await caller.send("unsafe", "q")
-        while not server.got:
+        while not server.exchanges:
             await asyncio.sleep(0.01)
         caller.writer.close()
         with anyio.fail_after(0.5):
-            assert await server.got[0].reader.read() == b""
+            assert await server.exchanges[0].reader.read() == b""
 
     async def works(exchange: Exchange) -> None:
         await asyncio.sleep(5)
 
     server = ScriptedServer("s1", works)
-    play([server], scenario)
+    run_scenario([server], scenario)
 
 
 def test_turn_with_history_gets_the_earlier_turns() -> None:
     """The second turn contains only new input; the server must get the whole chain."""
     server = ScriptedServer("s1", stream_events)
 
-    async def scenario(harness: Stand) -> None:
+    async def scenario(harness: RelayHarness) -> None:
         first = await harness.request("turn", "t1", body="ask", **TURN)
         assert first.whole and first.body == "".join(EVENTS).encode()
         second = await harness.request(
             "turn", "t2", body="more", X_Previous_Turn="t1", **TURN
         )
         assert second.whole
-        assert server.got[1].body == b"askone\ntwo\nmore"
+        assert server.exchanges[1].body == b"askone\ntwo\nmore"
         third = await harness.request(
             "turn", "t3", body="", X_Previous_Turn="none", **TURN
         )
         assert third.status == 404
 
-    play([server], scenario)
+    run_scenario([server], scenario)
 
 
 def test_turn_is_durable_before_its_end_is_sent() -> None:
@@ -203,7 +209,7 @@
     the end, it could continue from a turn that is not durable.
     """
 
-    async def scenario(harness: Stand) -> None:
+    async def scenario(harness: RelayHarness) -> None:
         harness.keepers.unreachable = {"k1:1", "k2:1"}
         reply = await harness.request("turn", "t2", X_Deadline_Ms="700", **TURN)
         assert reply.status == 503
@@ -221,7 +227,7 @@
         assert not reply.whole
 
     server = ScriptedServer("s1", stream_events)
-    play([server], scenario)
+    run_scenario([server], scenario)
 
 
 def test_turns_are_refused_at_once_while_ledger_is_unreachable() -> None:
@@ -232,7 +238,7 @@
     """
     server = ScriptedServer("s1", stream_events)
 
-    async def scenario(harness: Stand) -> None:
+    async def scenario(harness: RelayHarness) -> None:
         harness.keepers.unreachable = {"k0:1", "k1:1", "k2:1"}
         assert harness.keepers.client.is_reachable
         assert (await harness.request("turn", "t1", **TURN)).status == 503
@@ -245,21 +251,21 @@
         await harness.keepers.client.probe()
         assert harness.keepers.client.is_reachable
         assert (await harness.request("turn", "t3", **TURN)).status == 200
-        assert len(server.got) == 1
+        assert len(server.exchanges) == 1
 
-    play([server], scenario)
+    run_scenario([server], scenario)
 
 
 def test_turn_over_budget_reaches_no_server() -> None:
     server = ScriptedServer("s1", stream_events)
 
-    async def scenario(harness: Stand) -> None:
+    async def scenario(harness: RelayHarness) -> None:
         turn = TURN | {"X_Token_Budget": "230"}
         assert (await harness.request("turn", "t1", **turn)).status == 200
         assert (await harness.request("turn", "t2", **turn)).status == 402
-        assert len(server.got) == 1
+        assert len(server.exchanges) == 1
 
-    play([server], scenario)
+    run_scenario([server], scenario)
 
 
 def test_resumable_stream_continues_after_its_last_event() -> None:
@@ -278,12 +284,12 @@
         await exchange.stream(EVENTS[0], EVENTS[1][:9], end=False)
         exchange.reset()
 
-    async def scenario(harness: Stand) -> None:
+    async def scenario(harness: RelayHarness) -> None:
         reply = await harness.request("talk", "q", **TURN)
         assert reply.whole
         assert reply.body == "".join(EVENTS).encode()
 
-    play([ScriptedServer("s1", breaks_once)], scenario)
+    run_scenario([ScriptedServer("s1", breaks_once)], scenario)
 
 
 def test_slow_caller_applies_backpressure_to_the_server() -> None:
@@ -299,10 +305,10 @@
     async def floods(exchange: Exchange) -> None:
         for _ in range(count):
             sent.append(1)
-            await exchange.stream_part(event)
-        await exchange.stream_end()
+            await exchange.send_event(event)
+        await exchange.end_stream()
 
-    async def scenario(harness: Stand) -> None:
+    async def scenario(harness: RelayHarness) -> None:
         caller = await harness.open()
         await caller.send("long", "q", X_Deadline_Ms="9000", **TURN)
         await asyncio.sleep(0.5)
@@ -310,7 +316,7 @@
         reply = await caller.read()
         assert len(reply.body) == count * len(event)
 
-    play([ScriptedServer("s1", floods)], scenario)
+    run_scenario([ScriptedServer("s1", floods)], scenario)
 
 
 def test_broken_stream_that_is_not_resumable_is_truncated() -> None:
@@ -318,12 +324,12 @@
         await exchange.stream(EVENTS[0], EVENTS[1][:9], end=False)
         exchange.reset()
 
-    async def scenario(harness: Stand) -> None:
+    async def scenario(harness: RelayHarness) -> None:
         reply = await harness.request("turn", "q", **TURN)
         assert not reply.whole
         assert reply.body == EVENTS[0].encode()
 
-    play([ScriptedServer("s1", breaks)], scenario)
+    run_scenario([ScriptedServer("s1", breaks)], scenario)
 
 
 def test_smuggled_request_is_not_run() -> None:
@@ -331,23 +337,23 @@
 
     With the wrong length, the server would run a request that no caller sent.
     """
-    server = ScriptedServer("s1", good)
+    server = ScriptedServer("s1", answer_ok)
     hidden = "POST /unsafe/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: z\r\n\r\n"
 
-    async def scenario(harness: Stand) -> None:
+    async def scenario(harness: RelayHarness) -> None:
         caller = await harness.open()
         await caller.send("unsafe", "a", body=hidden)
         assert (await caller.read()).status == 200
-        assert server.got[0].body == hidden.encode()
-        await caller.raw(
+        assert server.exchanges[0].body == hidden.encode()
+        await caller.send_raw(
             "POST /unsafe/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: b\r\n"
             f"Content-Length: {len(hidden)}\r\nTransfer-Encoding: chunked\r\n\r\n"
             f"0\r\n\r\n{hidden}"
         )
         assert (await caller.read()).status == 400
-        assert len(server.got) == 1
+        assert len(server.exchanges) == 1
 
-    play([server], scenario)
+    run_scenario([server], scenario)
 
 
 def test_pipelined_requests_are_answered_in_order() -> None:
@@ -356,41 +362,41 @@
         await asyncio.sleep(0.05 if request_id == "q0" else 0)
         await exchange.answer(request_id)
 
-    async def scenario(harness: Stand) -> None:
+    async def scenario(harness: RelayHarness) -> None:
         caller = await harness.open()
         for number in range(5):
             await caller.send("unsafe", f"q{number}")
         for number in range(5):
             assert (await caller.read()).body == f"q{number}".encode()
 
-    play([ScriptedServer("s1", echoes)], scenario)
+    run_scenario([ScriptedServer("s1", echoes)], scenario)
 
 
 def test_without_configuration_requests_may_be_retried() -> None:
     """A relay has just started and the store is unreachable: it knows no route."""
 
-    async def scenario(harness: Stand) -> None:
+    async def scenario(harness: RelayHarness) -> None:
         harness.handler.table = None
         reply = await harness.request("safe")
         assert reply.status == 503
         assert "Retry-After: " in reply.head
 
-    play([], scenario)
+    run_scenario([], scenario)
 
 
 def test_outdated_configuration_rejects_no_route() -> None:
     """The store is unreachable; a caller uses a route that may be new."""
 
-    async def scenario(harness: Stand) -> None:
+    async def scenario(harness: RelayHarness) -> None:
         assert (await harness.request("other")).status == 404
         harness.handler.is_config_current = False
         assert (await harness.request("other")).status == 503
 
-    play([], scenario)
+    run_scenario([], scenario)
 
 
 def test_bad_requests_get_typed_errors() -> None:
-    async def scenario(harness: Stand) -> None:
+    async def scenario(harness: RelayHarness) -> None:
         for text, status in (
             ("GET /safe/x HTTP/1.1\r\nX-Request-Id: a\r\n\r\n", 400),
             ("GET /safe/x HTTP/1.1\r\nHost: h\r\n\r\n", 400),
@@ -402,12 +408,12 @@
             ),
         ):
             caller = await harness.open()
-            await caller.raw(text)
+            await caller.send_raw(text)
             reply = await caller.read()
             assert reply.status == status, text[:40]
             assert b'"code"' in reply.body
 
-    play([], scenario)
+    run_scenario([], scenario)
 
 
 def test_timeout_after_a_request_was_sent() -> None:
@@ -416,25 +422,25 @@
     async def silent(exchange: Exchange) -> None:
         await asyncio.sleep(5)
 
-    async def scenario(harness: Stand) -> None:
+    async def scenario(harness: RelayHarness) -> None:
         assert (await harness.request("unsafe", "a", X_Deadline_Ms="200")).status == 504
 
-    play([ScriptedServer("s1", silent)], scenario)
+    run_scenario([ScriptedServer("s1", silent)], scenario)
 
 
 def test_stopping_relay_refuses_new_requests() -> None:
-    server = ScriptedServer("s1", good)
+    server = ScriptedServer("s1", answer_ok)
 
-    async def scenario(harness: Stand) -> None:
+    async def scenario(harness: RelayHarness) -> None:
         harness.handler.stopped_accepting = True
         for name in ("safe", "unsafe", "talk"):
             reply = await harness.request(name)
             assert reply.status == 503
             assert b'"ran":"no"' in reply.body and b'"stopping"' in reply.body
             assert "Retry-After: 0.050" in reply.head
-        assert not server.got
+        assert not server.exchanges
 
-    play([server], scenario)
+    run_scenario([server], scenario)
 
 
 def test_server_with_immediate_errors_is_not_preferred() -> None:
@@ -448,15 +454,15 @@
         await exchange.answer("oops", status="500 Internal Server Error")
 
     bad = ScriptedServer("s1", broken)
-    fine = ScriptedServer("s2", good)
+    fine = ScriptedServer("s2", answer_ok)
 
-    async def scenario(harness: Stand) -> None:
+    async def scenario(harness: RelayHarness) -> None:
         other = harness.fleet.get("s2")
         assert other is not None
-        other.open = 5
+        other.in_flight = 5
         for number in range(10):
             await harness.request("unsafe", f"q{number}")
-        assert len(bad.got) == FAILURES_TO_REST
-        assert len(fine.got) == 10 - FAILURES_TO_REST
+        assert len(bad.exchanges) == EJECTION_FAILURES
+        assert len(fine.exchanges) == 10 - EJECTION_FAILURES
 
-    play([bad, fine], scenario)
+    run_scenario([bad, fine], scenario)
--- a/tests/relay/test_silence.py
+++ b/tests/relay/test_silence.py
@@ -4,7 +4,13 @@
 
 import asyncio
 
-from tests.relay.stand import Exchange, ScriptedServer, Stand, good, play
+from tests.relay.harness import (
+    Exchange,
+    RelayHarness,
+    ScriptedServer,
+    answer_ok,
+    run_scenario,
+)
 
 WARM = 20
 
@@ -19,33 +25,33 @@
     A lookup sent to the unresponsive server would wait there until its deadline.  It is
     sent to the other server as well, which is harmless for a lookup.
     """
-    servers = [ScriptedServer("s1", good), ScriptedServer("s2", good)]
+    servers = [ScriptedServer("s1", answer_ok), ScriptedServer("s2", answer_ok)]
 
-    async def scenario(harness: Stand) -> None:
+    async def scenario(harness: RelayHarness) -> None:
         for number in range(WARM):
             assert (await harness.request("safe", f"warm{number}")).status == 200
         # The server with an idle connection, which the next request uses.
-        max(servers, key=lambda server: len(server.got)).script = hang
+        max(servers, key=lambda server: len(server.exchanges)).script = hang
         before = asyncio.get_running_loop().time()
         for number in range(4):
             assert (await harness.request("safe", f"q{number}")).status == 200
         assert asyncio.get_running_loop().time() - before < 2.0
 
-    play(servers, scenario)
+    run_scenario(servers, scenario)
 
 
 def test_unsafe_request_is_not_retried_if_the_server_is_unresponsive() -> None:
     """The same, but with an unsafe request, which a second server would run again."""
-    servers = [ScriptedServer("s1", good), ScriptedServer("s2", good)]
+    servers = [ScriptedServer("s1", answer_ok), ScriptedServer("s2", answer_ok)]
 
-    async def scenario(harness: Stand) -> None:
+    async def scenario(harness: RelayHarness) -> None:
         for number in range(WARM):
             assert (await harness.request("unsafe", f"warm{number}")).status == 200
         for server in servers:
             server.script = hang
-            server.got.clear()
+            server.exchanges.clear()
         reply = await harness.request("unsafe", "once", X_Deadline_Ms="700")
         assert reply.status == 504
-        assert sum(len(server.got) for server in servers) == 1
+        assert sum(len(server.exchanges) for server in servers) == 1
 
-    play(servers, scenario)
+    run_scenario(servers, scenario)
--- a/tests/relay/test_stopping.py
+++ b/tests/relay/test_stopping.py
@@ -16,6 +16,7 @@
 
 from tests.platform.settings_file import write_settings
 from tests.platform.standin_store import StoreStandin
+from tests.relay.harness import Caller, Exchange, Reply, ScriptedServer, route
 from tests.relay.machines import (
     CONFIG,
     KEEPER_IP,
@@ -24,9 +25,8 @@
     RELAY_IP,
     Deployment,
     free_port,
-    play,
+    run_scenario,
 )
-from tests.relay.stand import Caller, Exchange, Reply, ScriptedServer, route
 from wisteriastair.core.fleet import Server
 from wisteriastair.core.routes import (
     CallerLimits,
@@ -34,7 +34,7 @@
     RouteTable,
     Service,
 )
-from wisteriastair.core.stopping import Stop
+from wisteriastair.core.stopping import Shutdown
 from wisteriastair.nodeoptions import NodeOptions
 from wisteriastair.platform.settings import load_settings
 from wisteriastair.relay.daemon import Relay
@@ -43,7 +43,7 @@
 CHUNK_BYTES = 64 * 1024
 
 
-async def good(exchange: Exchange) -> None:
+async def answer_ok(exchange: Exchange) -> None:
     await exchange.answer("fine")
 
 
@@ -106,7 +106,7 @@
         assert size == len(LARGE_BODY)
         assert await anyio.to_thread.run_sync(relay.wait) == 0
 
-    play(ScriptedServer("s1", large), tmp_path, scenario)
+    run_scenario(ScriptedServer("s1", large), tmp_path, scenario)
 
 
 def test_request_arriving_while_acceptance_ends_is_answered(
@@ -125,19 +125,19 @@
         caller = await deployment.open(deployment.front)
         relay.send_signal(signal.SIGTERM)
         await anyio.sleep(1.9)
-        await caller.raw(
+        await caller.send_raw(
             "POST /unsafe/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: up\r\n"
             "X-Deadline-Ms: 3000\r\nContent-Length: 10\r\n\r\n12345"
         )
         await anyio.sleep(1.3)
         try:
-            await caller.raw("67890")
+            await caller.send_raw("67890")
             reply = await caller.read()
         except OSError:
             reply = Reply(0, "", b"", False)
         assert reply.status in (200, 503)
 
-    play(ScriptedServer("s1", good), tmp_path, scenario)
+    run_scenario(ScriptedServer("s1", answer_ok), tmp_path, scenario)
 
 
 def test_relay_suspended_during_its_stop_accepts_no_request(
@@ -170,11 +170,11 @@
         await caller.send("unsafe", "late")
         relay.send_signal(signal.SIGCONT)
         reply = await caller.read()
-        ran = {exchange.header("X-Request-Id") for exchange in server.got}
+        ran = {exchange.header("X-Request-Id") for exchange in server.exchanges}
         assert reply.status == 503
         assert "late" not in ran
 
-    play(server, tmp_path, scenario)
+    run_scenario(server, tmp_path, scenario)
 
 
 @pytest.mark.parametrize("turns", range(8))
@@ -216,7 +216,9 @@
             assert (await first.read()).status == 200
             writer.close()
             await anyio.sleep(0.1)
-            relay._handler.stop = Stop(asyncio.get_running_loop().time() - 3.0, 8.0)
+            relay._handler.shutdown = Shutdown(
+                asyncio.get_running_loop().time() - 3.0, 8.0
+            )
             late = socket.create_connection((host, int(port)))
             late.sendall(
                 b"POST /unsafe/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: late\r\n"
@@ -234,7 +236,7 @@
         late.close()
         server.stop()
         assert relay._handler.stopped_accepting
-        ran = {exchange.header("X-Request-Id") for exchange in server.got}
+        ran = {exchange.header("X-Request-Id") for exchange in server.exchanges}
         assert "late" not in ran or reply.startswith(b"HTTP/1.1 200")
 
     anyio.run(main)
@@ -274,7 +276,7 @@
         await exchange.stream("id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n", end=False)
         if exchange.header("X-Request-Id") == "cut":
             await asyncio.sleep(20)
-        await exchange.stream_end()
+        await exchange.end_stream()
 
     async def turn(deployment: Deployment, ip: str, name: str, tokens: int) -> Reply:
         caller = await deployment.open(deployment.front, ip)
@@ -314,7 +316,7 @@
         after = await turn(deployment, OTHER_RELAY_IP, "after", 200)
         assert after.status == 200, after.body
 
-    play(ScriptedServer("s1", streams), tmp_path, scenario)
+    run_scenario(ScriptedServer("s1", streams), tmp_path, scenario)
 
 
 LONG_TURNS = {
--- a/wisteriastair/relay/answers.py
+++ b/wisteriastair/relay/answers.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ..errors import Code, Failure, error_body, http_status
-from ..http1.caller import CallerChannel
+from ..http1.caller import CallerConnection
 from ..http1.messages import Headers
 from ..platform.headers import REQUEST_ID, RETRY_AFTER
 
@@ -29,7 +29,9 @@
 }
 
 
-def send_failure(caller_conn: CallerChannel, request_id: str, failure: Failure) -> int:
+def send_failure(
+    caller_conn: CallerConnection, request_id: str, failure: Failure
+) -> int:
     """Send a failure to the caller and return its status."""
     status = http_status(failure.code)
     headers: Headers = [JSON_CONTENT_TYPE]
--- a/wisteriastair/relay/daemon.py
+++ b/wisteriastair/relay/daemon.py
@@ -13,39 +13,39 @@
 import msgspec
 from anyio.abc import TaskGroup
 
-from ..core.fleet import LAPSE_S, Fleet
+from ..core.fleet import REREGISTRATION_S, Fleet
 from ..core.ledgerwire import (
-    AskDocuments,
-    KnownDocuments,
+    DocumentsReply,
+    DocumentsRequest,
     LedgerMessage,
     PermitReply,
-    StoreNews,
+    StoreUpdate,
 )
 from ..core.membership import View
-from ..core.stopping import Stop
-from ..core.storetimes import make_store_times
+from ..core.stopping import Shutdown
+from ..core.storetimes import make_store_timeouts
 from ..core.watchers import make_subscription
-from ..http1.caller import CallerChannel
+from ..http1.caller import CallerConnection
 from ..logs import dropped_lines
 from ..nodemetrics import RelayMetrics, serve_metrics
 from ..nodeoptions import NodeOptions
 from ..peers.ledgercodec import (
+    LEDGER_ACK_TIMEOUTS,
+    LEDGER_BATCH_DELAY_S,
     LEDGER_CODEC,
     LEDGER_DEPLOYMENT,
-    LEDGER_GATHER_S,
-    LEDGER_PATIENCE,
 )
 from ..peers.transport import Transport
 from ..platform.documents import (
     CONFIG_KEY,
-    SERVERS,
+    SERVER_KEY_PREFIX,
     VIEW_KEY,
-    BadDocument,
+    InvalidDocument,
     decode_config,
     decode_server,
 )
 from ..platform.mirror import Mirror
-from ..platform.store import Item, Store
+from ..platform.store import Store, StoreItem
 from .chains import ChainCache
 from .dispatch import Dispatcher
 from .drain import Drain
@@ -71,10 +71,10 @@
 
     def __init__(self, cfg: NodeOptions) -> None:
         self._cfg = cfg
-        self._store = Store(cfg.store, make_store_times(cfg.contact_s))
+        self._store = Store(cfg.store, make_store_timeouts(cfg.contact_s))
         self._fleet = Fleet(cfg.drain_s)
         self._subscription = make_subscription(
-            cfg.internal, cfg.domain, cfg.tolerated_losses, cfg.change_s
+            cfg.internal, cfg.domain, cfg.max_failures, cfg.change_s
         )
         self._mirror = Mirror(
             self._store,
@@ -84,7 +84,7 @@
         )
         self._pool = ConnectionPool(self._on_unexpected_data)
         self._metrics = RelayMetrics()
-        self._ledger = LedgerClient(cfg.domain, cfg.tolerated_losses)
+        self._ledger = LedgerClient(cfg.domain, cfg.max_failures)
         self._dispatcher = Dispatcher(self._fleet, self._pool, cfg.domain)
         self._chains = ChainCache(int(cfg.memory_bytes * CHAIN_CACHE_FRACTION))
         streams = StreamRelay(self._dispatcher, self._ledger, self._chains)
@@ -95,7 +95,7 @@
             self._dispatcher, streams, self._quota, self._is_ready, self._metrics
         )
         self._ready = ReadyHandler(self._is_ready)
-        self._caller_conns: set[CallerChannel] = set()
+        self._caller_conns: set[CallerConnection] = set()
         self._stop = anyio.Event()
         self._logged_errors: dict[str, str] = {}
         self._has_listing = False
@@ -110,8 +110,8 @@
             self._on_message,
             deployment=LEDGER_DEPLOYMENT,
             codec=LEDGER_CODEC,
-            gather_s=LEDGER_GATHER_S,
-            patience=LEDGER_PATIENCE,
+            batch_delay_s=LEDGER_BATCH_DELAY_S,
+            ack_timeouts=LEDGER_ACK_TIMEOUTS,
         )
         async with anyio.create_task_group() as group:
             self._ledger.start(transport, group)
@@ -129,22 +129,22 @@
 
     async def _serve(self, group: TaskGroup) -> None:
         loop = asyncio.get_running_loop()
-        ready_conns: set[CallerChannel] = set()
+        ready_conns: set[CallerConnection] = set()
         listeners = [
             await loop.create_server(
-                lambda: CallerChannel(self._handler, group, self._caller_conns),
+                lambda: CallerConnection(self._handler, group, self._caller_conns),
                 *_host_and_port(self._cfg.callers),
                 backlog=LISTEN_BACKLOG,
             ),
             await loop.create_server(
-                lambda: CallerChannel(self._ready, group, ready_conns),
+                lambda: CallerConnection(self._ready, group, ready_conns),
                 *_host_and_port(self._cfg.ready),
             ),
         ]
         await self._stop.wait()
-        assert self._handler.stop is not None, "set together with the event"
+        assert self._handler.shutdown is not None, "set together with the event"
         drain = Drain(self._handler, self._ledger, self._caller_conns)
-        await drain.run(self._handler.stop, listeners)
+        await drain.run(self._handler.shutdown, listeners)
 
     # Stopping
 
@@ -157,16 +157,18 @@
                     log.info("SIGHUP ignored: settings cannot be reloaded")
                     continue
                 log.info("stopping", extra={"channels": len(self._caller_conns)})
-                if self._handler.stop is None:
+                if self._handler.shutdown is None:
                     now = asyncio.get_running_loop().time()
-                    self._handler.stop = Stop(now, self._cfg.grace_s)
+                    self._handler.shutdown = Shutdown(now, self._cfg.grace_s)
                 self._stop.set()
 
     def _is_ready(self) -> bool:
         has_listing = self._has_listing or self._has_keeper_documents
         has_documents = self._handler.table is not None and has_listing
         return (
-            has_documents and self._ledger.is_reachable and self._handler.stop is None
+            has_documents
+            and self._ledger.is_reachable
+            and self._handler.shutdown is None
         )
 
     # Documents of the store, received from keepers
@@ -177,23 +179,23 @@
             await anyio.sleep(DOCUMENTS_REQUEST_INTERVAL_S)
             for seed in self._cfg.seeds:
                 if not self._has_config_and_servers():
-                    transport.send(seed, AskDocuments())
+                    transport.send(seed, DocumentsRequest())
 
     def _has_config_and_servers(self) -> bool:
         return self._handler.table is not None and len(self._fleet) > 0
 
     def _on_message(self, sender: str, message: LedgerMessage) -> None:
-        if isinstance(message, StoreNews):
-            if self._mirror.take_news(sender, message):
-                self._transport.send(sender, AskDocuments())
+        if isinstance(message, StoreUpdate):
+            if self._mirror.apply_update(sender, message):
+                self._transport.send(sender, DocumentsRequest())
         elif isinstance(message, PermitReply):
             self._quota.receive(message)
-        elif isinstance(message, KnownDocuments):
+        elif isinstance(message, DocumentsReply):
             self._apply_documents(sender, message)
         else:
             self._ledger.receive(sender, message)
 
-    def _apply_documents(self, sender: str, message: KnownDocuments) -> None:
+    def _apply_documents(self, sender: str, message: DocumentsReply) -> None:
         if self._has_listing:
             return
         log.info(
@@ -204,31 +206,31 @@
                 "revision": message.revision,
             },
         )
-        items = [Item(d.key, d.revision, d.value) for d in message.documents]
-        self._mirror.take_documents(sender, message.revision, items)
+        items = [StoreItem(d.key, d.revision, d.value) for d in message.documents]
+        self._mirror.apply_documents(sender, message.revision, items)
         self._has_keeper_documents = True
 
     # Changes of the store
 
     def _on_listed(self, present: set[str]) -> None:
         self._has_listing = True
-        ids = {key.removeprefix(SERVERS) for key in present}
-        self._fleet.keep_only(ids, asyncio.get_running_loop().time())
+        ids = {key.removeprefix(SERVER_KEY_PREFIX) for key in present}
+        self._fleet.retain_only(ids, asyncio.get_running_loop().time())
 
-    def _on_item(self, item: Item) -> None:
+    def _on_item(self, item: StoreItem) -> None:
         if item.key == CONFIG_KEY:
             self._apply_config(item)
         elif item.key == VIEW_KEY and item.value is not None:
             self._apply_view(item.value)
-        elif item.key.startswith(SERVERS):
+        elif item.key.startswith(SERVER_KEY_PREFIX):
             self._apply_server(item)
 
-    def _apply_config(self, item: Item) -> None:
+    def _apply_config(self, item: StoreItem) -> None:
         if item.value is None:
             log.warning("configuration removed from the store; the last one stays")
             return
         table = decode_config(item.value)
-        if isinstance(table, BadDocument):
+        if isinstance(table, InvalidDocument):
             log.error(
                 "value in the store does not decode",
                 extra={"key": table.key, "reason": table.reason},
@@ -269,17 +271,19 @@
                 extra={"key": VIEW_KEY, "reason": str(exc)},
             )
 
-    def _apply_server(self, item: Item) -> None:
+    def _apply_server(self, item: StoreItem) -> None:
         now = asyncio.get_running_loop().time()
-        server_id = item.key.removeprefix(SERVERS)
+        server_id = item.key.removeprefix(SERVER_KEY_PREFIX)
         if item.value is None:
             self._logged_errors.pop(item.key, None)
-            lapsed = self._fleet.store_unsure and self._mirror.catching_up
-            self._fleet.remove(server_id, now, lapsed=lapsed)
+            is_lease_expired = (
+                self._fleet.store_unstable and self._mirror.is_catching_up
+            )
+            self._fleet.remove(server_id, now, is_lease_expired=is_lease_expired)
             log.info("server vanished", extra={"server": server_id})
             return
         server = decode_server(item.key, item.value)
-        if isinstance(server, BadDocument):
+        if isinstance(server, InvalidDocument):
             # The server of the previous value is not used any more.
             self._fleet.remove(server_id, now)
             self._log_invalid(server)
@@ -294,11 +298,11 @@
                 "server": server_id,
                 "draining": server.draining,
                 "born": server.born,
-                "replaces": replaced.start if replaced else "",
+                "replaces": replaced.incarnation if replaced else "",
             },
         )
 
-    def _log_invalid(self, bad: BadDocument) -> None:
+    def _log_invalid(self, bad: InvalidDocument) -> None:
         """Log a decode error, unless the last one of the key had the same reason."""
         if self._logged_errors.get(bad.key) == bad.reason:
             return
@@ -313,10 +317,10 @@
 
     def _update_store_state(self) -> None:
         mirror = self._mirror
-        since_s = time.monotonic() - mirror.regained_at
-        self._handler.is_config_current = mirror.in_touch and self._has_listing
-        self._fleet.store_unsure = not mirror.in_touch or (
-            mirror.was_lost and since_s < LAPSE_S
+        since_s = time.monotonic() - mirror.reconnected_at
+        self._handler.is_config_current = mirror.store_reachable and self._has_listing
+        self._fleet.store_unstable = not mirror.store_reachable or (
+            mirror.was_disconnected and since_s < REREGISTRATION_S
         )
 
     def _update_gauges(self) -> None:
@@ -325,15 +329,15 @@
             "config_version": table.version if table else 0,
             "view_number": self._ledger.view.number,
             "ready": self._is_ready(),
-            "stop_stage": (self._handler.stop is not None)
+            "stop_stage": (self._handler.shutdown is not None)
             + self._handler.stopped_accepting,
             "ledger_reachable": self._ledger.is_reachable,
             "servers_known": len(self._fleet),
             "caller_channels": len(self._caller_conns),
             "server_channels_opened": self._pool.opened_count,
-            "store_calls": self._store.calls,
+            "store_calls": self._store.call_count,
             "store_revision": self._mirror.revision,
-            "store_watched": self._mirror.watches,
+            "store_watched": self._mirror.is_watching,
             "ledger_resent": self._ledger.resend_count,
             "chain_bytes": self._chains.size_bytes,
             "log_lines_dropped": dropped_lines(),
@@ -351,12 +355,12 @@
         while True:
             now = loop.time()
             for caller_conn in list(self._caller_conns):
-                caller_conn.check(now)
+                caller_conn.enforce_timeouts(now)
             self._update_store_state()
             self._subscription.set_view(self._ledger.view, now)
-            for address, message in self._subscription.due(now):
+            for address, message in self._subscription.due_subscriptions(now):
                 transport.send(address, message)
-            self._pool.close_unused(self._fleet.expire(now))
+            self._pool.close_unused(self._fleet.remove_expired(now))
             self._update_gauges()
             await anyio.sleep(SWEEP_INTERVAL_S)
 
--- a/wisteriastair/relay/drain.py
+++ b/wisteriastair/relay/drain.py
@@ -14,8 +14,8 @@
 
 import anyio
 
-from ..core.stopping import Stop
-from ..http1.caller import CallerChannel
+from ..core.stopping import Shutdown
+from ..http1.caller import CallerConnection
 from .handler import RelayHandler
 from .ledger import LedgerClient
 
@@ -36,7 +36,7 @@
         Accepts requests until the drain stops that.
     ledger : LedgerClient
         Runs settlements in the background.
-    caller_conns : set of CallerChannel
+    caller_conns : set of CallerConnection
         Open connections of callers.
     """
 
@@ -44,34 +44,36 @@
         self,
         handler: RelayHandler,
         ledger: LedgerClient,
-        caller_conns: set[CallerChannel],
+        caller_conns: set[CallerConnection],
     ) -> None:
         self._handler = handler
         self._ledger = ledger
         self._caller_conns = caller_conns
 
-    async def run(self, stop: Stop, listeners: Sequence[asyncio.Server]) -> None:
+    async def run(
+        self, shutdown: Shutdown, listeners: Sequence[asyncio.Server]
+    ) -> None:
         """Return when the process may end.
 
         Parameters
         ----------
-        stop : Stop
+        shutdown : Shutdown
             The stop that the signal began.
         listeners : sequence of asyncio.Server
             Listening sockets; closed when all accepted requests have ended.
         """
-        await self._serve_while_accepting(stop)
+        await self._serve_while_accepting(shutdown)
         self._stop_accepting()
-        await self._wait_until(stop, self._has_ended_requests)
+        await self._wait_until(shutdown, self._has_ended_requests)
         for listener in listeners:
             listener.close()
         # A connection that was just accepted is registered some loop iterations later.
         await anyio.sleep(POLL_INTERVAL_S)
-        if await self._wait_until(stop, self._is_drained):
+        if await self._wait_until(shutdown, self._is_drained):
             return
         await self._abort_remaining()
 
-    async def _serve_while_accepting(self, stop: Stop) -> None:
+    async def _serve_while_accepting(self, shutdown: Shutdown) -> None:
         """Serve until requests are no longer accepted, or no caller is connected.
 
         The platform still sends callers until it notices the stop, and also while most
@@ -79,7 +81,7 @@
         """
         loop = asyncio.get_running_loop()
         while not self._handler.rejects_new_requests():
-            if loop.time() >= stop.noticed_at:
+            if loop.time() >= shutdown.rerouted_at:
                 self._close_idle()
                 if not self._caller_conns and self._has_ended_requests():
                     return
@@ -109,13 +111,15 @@
 
     def _close_idle(self) -> None:
         for caller_conn in list(self._caller_conns):
-            caller_conn.finish_idle()
+            caller_conn.close_if_idle()
 
-    async def _wait_until(self, stop: Stop, condition: Callable[[], bool]) -> bool:
+    async def _wait_until(
+        self, shutdown: Shutdown, condition: Callable[[], bool]
+    ) -> bool:
         """Wait for a condition; return False if the stop ends first."""
         loop = asyncio.get_running_loop()
         while not condition():
-            if loop.time() >= stop.ends_at:
+            if loop.time() >= shutdown.ends_at:
                 return False
             await anyio.sleep(POLL_INTERVAL_S)
         return True
--- a/wisteriastair/relay/handler.py
+++ b/wisteriastair/relay/handler.py
@@ -14,12 +14,12 @@
 
 from ..core.customers import Customer
 from ..core.routes import CallerLimits, RequestKind, Route, RouteTable
-from ..core.stopping import Stop
+from ..core.stopping import Shutdown
 from ..errors import Code, Failure
-from ..http1.caller import CallerChannel, Handler
+from ..http1.caller import CallerConnection, Handler
 from ..http1.messages import BadRequest, Request
 from ..nodemetrics import RelayMetrics
-from ..platform.headers import READY_PATH, BadHeader, decode_request
+from ..platform.headers import READY_PATH, InvalidHeader, decode_request
 from .answers import code_for_status, send_failure
 from .dispatch import Dispatcher
 from .job import Job
@@ -57,7 +57,7 @@
         The configuration in force.
     is_config_current : bool
         Whether the configuration is known to be the newest one.
-    stop : Stop or None
+    shutdown : Shutdown or None
         The planned stop under way.
     stopped_accepting : bool
         Whether the planned stop has ended the acceptance of requests.
@@ -75,7 +75,7 @@
     ) -> None:
         self.table: RouteTable | None = None
         self.is_config_current = True
-        self.stop: Stop | None = None
+        self.shutdown: Shutdown | None = None
         self.stopped_accepting = False
         self.active_requests = 0
         self._dispatcher = dispatcher
@@ -84,14 +84,14 @@
         self._is_ready = is_ready
         self._metrics = metrics
 
-    def closing(self) -> bool:
+    def is_closing(self) -> bool:
         """Whether connections are closed after their next answer.
 
         An open connection stays with its process, so its caller would get refusals for
         as long as this process is not ready.  The platform routes new connections to
         other processes.
         """
-        return self.stop is not None or not self._is_ready()
+        return self.shutdown is not None or not self._is_ready()
 
     def rejects_new_requests(self) -> bool:
         """Whether new requests are refused because the process is about to end.
@@ -99,25 +99,25 @@
         The time is checked for each request, not by a periodic task: a process that was
         suspended would otherwise accept requests at its end and cut them.
         """
-        if self.stop is None or self.stopped_accepting:
+        if self.shutdown is None or self.stopped_accepting:
             return self.stopped_accepting
-        longest_s = self.table.longest_s if self.table else math.inf
+        max_timeout_s = self.table.max_timeout_s if self.table else math.inf
         now = asyncio.get_running_loop().time()
-        return now >= self.stop.last_call_at(longest_s)
+        return now >= self.shutdown.stop_accepting_at(max_timeout_s)
 
     def limits(self) -> CallerLimits:
         """Limits in force."""
         return self.table.limits if self.table else CallerLimits()
 
-    def refuse(self, bad: BadRequest, caller_conn: CallerChannel) -> None:
+    def refuse(self, bad: BadRequest, caller_conn: CallerConnection) -> None:
         """Answer a request that could not be read."""
         log.info("request refused", extra={"status": bad.status, "reason": bad.reason})
         send_failure(caller_conn, "", Failure(code_for_status(bad.status), bad.reason))
 
-    async def handle(self, req: Request, caller_conn: CallerChannel) -> None:
+    async def handle(self, req: Request, caller_conn: CallerConnection) -> None:
         """Answer one request."""
         caller_req = decode_request(req)
-        if isinstance(caller_req, BadHeader):
+        if isinstance(caller_req, InvalidHeader):
             self._reject(caller_conn, "", Failure(Code.BAD_REQUEST, str(caller_req)))
             return
         table = self.table
@@ -154,14 +154,21 @@
             return
         pending_permit = None
         if customer is not None:
-            may_start = route.kind is RequestKind.STREAM and not caller_req.previous
+            may_start = route.kind is RequestKind.STREAM and not caller_req.previous_id
             program_kind = route.name if may_start else ""
             pending_permit = self._quota.request_permit(
                 customer, caller_req.program, program_kind
             )
         quota_check = QuotaCheck(self._quota, pending_permit)
         job = Job(
-            req, caller_req, route, table, caller_conn, self.stop, customer, quota_check
+            req,
+            caller_req,
+            route,
+            table,
+            caller_conn,
+            self.shutdown,
+            customer,
+            quota_check,
         )
         self.active_requests += 1
         try:
@@ -179,11 +186,11 @@
         self, table: RouteTable, route: Route, key: str
     ) -> Customer | None | Failure:
         """Return the customer of a request; None if the route needs no key."""
-        if table.customers is None or route.is_open:
+        if table.customers is None or route.is_public:
             return None
         if not key:
             return Failure(Code.UNAUTHORIZED, "one key is needed: Bearer KEY")
-        customer = table.customers.holder(key)
+        customer = table.customers.find_by_digest(key)
         if customer is not None:
             return customer
         if not self.is_config_current:
@@ -207,7 +214,7 @@
             metrics.ledger.observe(job.ledger_s)
 
     def _reject(
-        self, caller_conn: CallerChannel, request_id: str, failure: Failure
+        self, caller_conn: CallerConnection, request_id: str, failure: Failure
     ) -> None:
         status = send_failure(caller_conn, request_id, failure)
         self._metrics.requests.labels("", status, failure.code.value).inc()
@@ -233,7 +240,7 @@
     def __init__(self, is_ready: Callable[[], bool]) -> None:
         self._is_ready = is_ready
 
-    def closing(self) -> bool:
+    def is_closing(self) -> bool:
         """Keep the platform's connections open."""
         return False
 
@@ -241,11 +248,11 @@
         """Limits for probes; the operators' configuration does not change them."""
         return CallerLimits()
 
-    def refuse(self, bad: BadRequest, caller_conn: CallerChannel) -> None:
+    def refuse(self, bad: BadRequest, caller_conn: CallerConnection) -> None:
         """Answer a request that could not be read."""
         send_failure(caller_conn, "", Failure(code_for_status(bad.status), bad.reason))
 
-    async def handle(self, req: Request, caller_conn: CallerChannel) -> None:
+    async def handle(self, req: Request, caller_conn: CallerConnection) -> None:
         """Answer a probe."""
         if req.path != READY_PATH:
             send_failure(
--- a/wisteriastair/relay/job.py
+++ b/wisteriastair/relay/job.py
@@ -9,11 +9,11 @@
 import logging
 from typing import Final
 
-from ..core.customers import Customer, scoped
+from ..core.customers import Customer, scoped_name
 from ..core.routes import Route, RouteTable
-from ..core.stopping import Stop
+from ..core.stopping import Shutdown
 from ..errors import Failure
-from ..http1.caller import CallerChannel
+from ..http1.caller import CallerConnection
 from ..http1.messages import Request
 from ..platform.headers import CallerRequest
 from .permission import QuotaCheck
@@ -48,7 +48,7 @@
 
     Parameters
     ----------
-    stop : Stop or None
+    shutdown : Shutdown or None
         The planned stop that was under way when the request was accepted.
     customer : Customer or None
         The customer; None on a route without keys.
@@ -62,8 +62,8 @@
         caller_req: CallerRequest,
         route: Route,
         table: RouteTable,
-        caller_conn: CallerChannel,
-        stop: Stop | None,
+        caller_conn: CallerConnection,
+        shutdown: Shutdown | None,
         customer: Customer | None,
         quota_check: QuotaCheck,
     ) -> None:
@@ -91,7 +91,7 @@
         if table.customers is not None:
             self.customer_name = customer.name if customer else ""
         self._config = table.version
-        self._stop = stop
+        self._shutdown = shutdown
         wait_s = DEFAULT_TIMEOUT_S if caller_req.wait_s is None else caller_req.wait_s
         if route.timeout_s > 0:
             wait_s = min(wait_s, route.timeout_s)
@@ -112,9 +112,9 @@
 
     def scoped_id(self, name: str) -> str:
         """Return the id of a program or turn, made unique among all customers."""
-        return scoped(self.customer_name or "", name)
+        return scoped_name(self.customer_name or "", name)
 
-    def left_s(self) -> float:
+    def remaining_s(self) -> float:
         """Seconds until the answer must be complete."""
         return self.deadline - self.now()
 
@@ -129,8 +129,8 @@
     def log(self) -> None:
         """Log the end of the request."""
         stopping = {}
-        if self._stop is not None:
-            since_stop_s = self.req.received_at - self._stop.began
+        if self._shutdown is not None:
+            since_stop_s = self.req.received_at - self._shutdown.started_at
             stopping["stopping_ms"] = round(since_stop_s * 1000)
         log.info(
             "request ended" if self.status else "request broken off",
@@ -151,6 +151,6 @@
                 "permit_ms": round(self.quota_check.waited_s * 1000, 1),
                 "first_ms": round(self.first_event_s * 1000, 1),
                 "took_ms": round(self.elapsed_s() * 1000, 1),
-                "left_ms": round(self.left_s() * 1000),
+                "left_ms": round(self.remaining_s() * 1000),
             },
         )
--- a/wisteriastair/relay/ledger.py
+++ b/wisteriastair/relay/ledger.py
@@ -17,16 +17,16 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from ..core.ledger import Attempt, Entry, Turn, fits_budget, merged_attempts
-from ..core.ledgerwire import LedgerMessage, Verdict, WriteReply
+from ..core.ledger import Attempt, Entry, Turn, fits_budget, merge_attempts
+from ..core.ledgerwire import LedgerMessage, ReplyStatus, WriteReply
 from ..core.membership import (
     Member,
     ReplicaSet,
     View,
-    holder_order,
-    preferred,
+    select_replicas,
+    sort_local_first,
 )
-from ..core.reach import Reach
+from ..core.reach import Reachability
 from ..peers.transport import Transport
 from .questions import (
     Granted,
@@ -80,7 +80,7 @@
         Token budget of the whole program; None if it has no budget.
     retention_s : float
         Seconds for which the ledger retains the program's records.
-    previous : str
+    previous_id : str
         Turn whose chain is read as well; empty for none.
     """
 
@@ -89,7 +89,7 @@
     tokens: int
     budget: int | None
     retention_s: float
-    previous: str
+    previous_id: str
 
 
 class BudgetExceeded(NamedTuple):
@@ -126,7 +126,7 @@
     ----------
     domain : str
         Failure domain of this process; chains are read inside it if possible.
-    losses : int
+    max_failures : int
         Number of members that may fail at once.
 
     Attributes
@@ -139,15 +139,15 @@
         Settlements in the background that are not durable yet.
     """
 
-    def __init__(self, domain: str, losses: int) -> None:
+    def __init__(self, domain: str, max_failures: int) -> None:
         self.view = View()
         self.resend_count = 0
         self.pending_settlements = 0
-        self._reachability = Reach()
+        self._reachability = Reachability()
         self._mean_latency_s = 0.0
         self._suspects: dict[str, float] = {}
         self._domain = domain
-        self._losses = losses
+        self._max_failures = max_failures
         self._pending: dict[int, _PendingRequest] = {}
         self._op = 0
         self._transport: Transport[LedgerMessage]
@@ -179,7 +179,7 @@
         pending = self._pending.get(message.op)
         if pending is None:
             return
-        if message.verdict is Verdict.DONE:
+        if message.status is ReplyStatus.DONE:
             pending.replies[message.disk] = message
         else:
             pending.is_unavailable = True
@@ -197,21 +197,21 @@
         deadline : float
             Time on the loop's clock after which the request is given up.
         """
-        if self._reachability.away:
-            return QuorumUnavailable(0, self._losses + 1, self.view.number)
+        if self._reachability.unreachable:
+            return QuorumUnavailable(0, self._max_failures + 1, self.view.number)
         own_attempt = {reservation.attempt: Attempt(reservation.tokens, False)}
         entry = Entry(reservation.program, reservation.retention_s, own_attempt)
         replies = await self._request(
-            WriteRecords(entry, reservation.previous), deadline
+            WriteRecords(entry, reservation.previous_id), deadline
         )
         if isinstance(replies, QuorumUnavailable):
             self.settle_in_background(reservation, 0)
             return replies
-        attempts = merged_attempts([reply.attempts for reply in replies])
+        attempts = merge_attempts([reply.attempts for reply in replies])
         granted: Granted | TurnNotFound | QuorumUnavailable = Granted(
             (), reservation.program
         )
-        if reservation.previous:
+        if reservation.previous_id:
             granted = await self._complete_chain(
                 reservation, first_chain(replies), deadline
             )
@@ -237,8 +237,8 @@
         it are unavailable and the caller should retry.
         """
         chain = found.chain if found else ()
-        chain_programs = {found.home} if found else set()
-        missing = chain[0].previous if chain else reservation.previous
+        chain_programs = {found.chain_program} if found else set()
+        missing = chain[0].previous_id if chain else reservation.previous_id
         while missing:
             replies = await self._request(SearchChain(missing), deadline)
             if isinstance(replies, QuorumUnavailable):
@@ -248,11 +248,11 @@
                 return TurnNotFound()
             if found is None:
                 return QuorumUnavailable(
-                    len(replies), self._losses + 1, self.view.number
+                    len(replies), self._max_failures + 1, self.view.number
                 )
             chain = (*found.chain, *chain)
-            chain_programs.add(found.home)
-            missing = chain[0].previous
+            chain_programs.add(found.chain_program)
+            missing = chain[0].previous_id
         foreign_programs = chain_programs - {reservation.program}
         return Granted(
             chain, foreign_programs.pop() if foreign_programs else reservation.program
@@ -303,20 +303,23 @@
     @property
     def is_reachable(self) -> bool:
         """Whether requests can be expected to reach a quorum."""
-        return len(self.view.members) > self._losses and not self._reachability.away
+        return (
+            len(self.view.members) > self._max_failures
+            and not self._reachability.unreachable
+        )
 
     async def probe(self) -> None:
         """Check whether the replicas are reachable, unless a request just succeeded."""
         now = asyncio.get_running_loop().time()
-        if self.view.members and self._reachability.wants_probe(now):
+        if self.view.members and self._reachability.is_probe_due(now):
             await self._request(SearchChain(""), now + PROBE_TIMEOUT_S)
 
     def _record_success(self, now: float) -> None:
-        if self._reachability.succeeded(now):
+        if self._reachability.record_success(now):
             log.info("ledger in reach", extra={"view": self.view.number})
 
     def _record_failure(self, now: float) -> None:
-        if self._reachability.failed(now):
+        if self._reachability.record_failure(now):
             log.warning("ledger out of reach", extra={"view": self.view.number})
 
     # Quorums
@@ -341,7 +344,7 @@
                 # A request with too little time says nothing about the replicas.
                 if deadline - started_at >= RESEND_INTERVAL_S:
                     self._record_failure(loop.time())
-                required = self._losses + 1
+                required = self._max_failures + 1
                 return QuorumUnavailable(
                     len(pending.replies), required, self.view.number
                 )
@@ -358,7 +361,7 @@
         """
         loop = asyncio.get_running_loop()
         view = self.view
-        sets = request.target_sets(view, self._losses)
+        sets = request.target_sets(view, self._max_failures)
         started_at = loop.time()
         interval_s = max(
             RESEND_INTERVAL_S, RESEND_LATENCY_FACTOR * self._mean_latency_s
@@ -417,7 +420,7 @@
         chosen: dict[str, Member] = {}
         for replicas in sets:
             count = request.first_target_count(replicas)
-            for member in preferred(replicas, self._domain, suspects, count):
+            for member in select_replicas(replicas, self._domain, suspects, count):
                 chosen[member.address] = member
         return list(chosen.values())
 
@@ -444,9 +447,9 @@
             # since settlements run in its task group.  Instead the request waits for a
             # view or for its deadline.
             return None
-        nearest, *others = holder_order(tuple(targets), self._domain)
+        nearest, *others = sort_local_first(tuple(targets), self._domain)
         addresses = [member.address for member in others]
-        message = request.spread(op, self.view.number, addresses)
+        message = request.fan_out_write(op, self.view.number, addresses)
         if message is None:
             return None
         self._transport.send(nearest.address, message)
@@ -459,7 +462,7 @@
         request: QuorumRequest,
         targets: list[Member],
     ) -> None:
-        for index, member in enumerate(holder_order(tuple(targets), self._domain)):
+        for index, member in enumerate(sort_local_first(tuple(targets), self._domain)):
             if member.disk in pending.replies:
                 continue
             # The nearest replica sends the chain; the others report if they have it.
@@ -474,7 +477,7 @@
         sets: tuple[ReplicaSet, ...],
     ) -> None:
         """Request the chain from the nearest replica that has reported to have it."""
-        for member in holder_order(tuple(all_members(sets)), self._domain):
+        for member in sort_local_first(tuple(all_members(sets)), self._domain):
             reply = pending.replies.get(member.disk)
             if reply is not None and reply.has_chain:
                 message = request.message(op, self.view.number, True)
--- a/wisteriastair/relay/plain.py
+++ b/wisteriastair/relay/plain.py
@@ -11,8 +11,8 @@
 import anyio
 
 from ..errors import Code, Failure
-from ..http1.messages import Head
-from ..platform.headers import caller_headers, is_genuine, server_headers
+from ..http1.messages import ResponseHead
+from ..platform.headers import forwarded_headers, has_server_stamp, response_headers
 from .answers import is_server_error, send_failure
 from .dispatch import Dispatcher, NotRun, OutcomeUnknown, ResponseStarted, read_body
 from .job import Job
@@ -31,7 +31,7 @@
 class ServerResponse:
     """Complete response of a server."""
 
-    def __init__(self, head: Head, body: bytes) -> None:
+    def __init__(self, head: ResponseHead, body: bytes) -> None:
         self.head = head
         self.body = body
 
@@ -41,7 +41,7 @@
     result: ServerResponse | Failure = Failure(
         Code.TIMED_OUT, "no answer in time", "unknown"
     )
-    with anyio.move_on_after(max(0.0, job.left_s())):
+    with anyio.move_on_after(max(0.0, job.remaining_s())):
         refusal = await job.quota_check.wait_for_permit(job.req.received_at)
         result = refusal or await _get_response(job, dispatcher)
     if isinstance(result, Failure):
@@ -52,14 +52,14 @@
         job.status = send_failure(job.caller_conn, job.caller_req.id, result)
         return
     job.status = result.head.status
-    job.caller_conn.respond(job.status, caller_headers(result.head), result.body)
+    job.caller_conn.respond(job.status, response_headers(result.head), result.body)
 
 
 async def _get_response(job: Job, dispatcher: Dispatcher) -> ServerResponse | Failure:
     excluded: set[str] = set()
     possible_runs = 0
-    silence = dispatcher.silence
-    silence.asked()
+    retry_policy = dispatcher.retry_policy
+    retry_policy.record_request()
     while True:
         state = dispatcher.choose_server(
             job.service, frozenset(excluded), body_bytes=len(job.req.body)
@@ -72,9 +72,9 @@
             return Failure(code, detail, "no", RETRY_AFTER_S)
         server_id = state.server.id
         job.tried.append(server_id)
-        headers = server_headers(
+        headers = forwarded_headers(
             job.req,
-            left_s=job.left_s(),
+            remaining_s=job.remaining_s(),
             server_id=server_id,
             body_bytes=len(job.req.body),
             customer=job.customer_name,
@@ -82,7 +82,7 @@
         job.was_sent = True
         attempt_timeout_s = None
         if job.route.repeatable and possible_runs + 1 < job.route.max_servers:
-            attempt_timeout_s = silence.limit_s(job.service)
+            attempt_timeout_s = retry_policy.attempt_timeout_s(job.service)
         started_at = job.now()
         async with dispatcher.send(
             state,
@@ -96,10 +96,10 @@
         if isinstance(result, ServerResponse):
             if is_server_error(result.head.status):
                 # As successes, immediate errors would make the server look fast.
-                dispatcher.failed(state)
+                dispatcher.record_failure(state)
             else:
-                state.succeeded(job.elapsed_s())
-                silence.answered(job.service, job.now() - started_at)
+                state.record_success(job.elapsed_s())
+                retry_policy.record_response(job.service, job.now() - started_at)
             return result
         if isinstance(result, NotRun):
             job.was_sent = possible_runs > 0
@@ -109,10 +109,10 @@
         possible_runs += 1
         job.reason = result.reason
         excluded.add(result.server)
-        dispatcher.failed(state)
+        dispatcher.record_failure(state)
         if not job.route.repeatable or possible_runs >= job.route.max_servers:
             return Failure(Code.SERVER_LOST, result.reason, "unknown")
-        silence.repeated()
+        retry_policy.record_retry()
 
 
 async def _read_response(
@@ -125,7 +125,7 @@
     if isinstance(body, str):
         return OutcomeUnknown(server_id, body)
     head = outcome.head
-    if head.status in SUCCESS_STATUSES and not is_genuine(head):
+    if head.status in SUCCESS_STATUSES and not has_server_stamp(head):
         return OutcomeUnknown(server_id, "a success without the server's stamp")
     if head.status in NOT_RUN_STATUSES:
         # The server has not stated that the request did not run, so forwarding the
--- a/wisteriastair/relay/pool.py
+++ b/wisteriastair/relay/pool.py
@@ -15,7 +15,7 @@
 import anyio
 
 from ..core.fleet import Server
-from ..http1.server import ServerChannel
+from ..http1.server import ServerConnection
 from ..sockets import set_options
 
 CONNECT_TIMEOUT_S: Final = 0.5
@@ -41,13 +41,13 @@
 
     def __init__(self, on_unexpected_data: Callable[[str], None]) -> None:
         self.opened_count = 0
-        self._idle: dict[str, list[ServerChannel]] = {}
+        self._idle: dict[str, list[ServerConnection]] = {}
         self._on_unexpected_data = on_unexpected_data
 
-    async def acquire(self, server: Server) -> ServerChannel | str:
+    async def acquire(self, server: Server) -> ServerConnection | str:
         """Return a connection, or the reason why none could be opened."""
         loop = asyncio.get_running_loop()
-        idle = self._idle.get(server.start, [])
+        idle = self._idle.get(server.incarnation, [])
         while idle:
             server_conn = idle.pop()
             if not server_conn.closed and loop.time() < _reusable_until(server_conn):
@@ -57,34 +57,38 @@
 
     def idle_incarnations(self) -> frozenset[str]:
         """Return the incarnations of servers that have an idle connection."""
-        return frozenset(start for start, idle in self._idle.items() if idle)
+        return frozenset(
+            incarnation for incarnation, idle in self._idle.items() if idle
+        )
 
-    def release(self, server: Server, server_conn: ServerChannel) -> None:
+    def release(self, server: Server, server_conn: ServerConnection) -> None:
         """Return a connection to the pool if it can be reused."""
         if server_conn.release(asyncio.get_running_loop().time()):
-            self._idle.setdefault(server.start, []).append(server_conn)
+            self._idle.setdefault(server.incarnation, []).append(server_conn)
 
     def close_unused(self, removed: list[Server]) -> None:
         """Close connections that were idle for too long or whose server was removed."""
         now = asyncio.get_running_loop().time()
         for server in removed:
-            for server_conn in self._idle.pop(server.start, []):
+            for server_conn in self._idle.pop(server.incarnation, []):
                 server_conn.close()
-        for start, idle in self._idle.items():
+        for incarnation, idle in self._idle.items():
             reusable = [c for c in idle if not c.closed and now < _reusable_until(c)]
             for server_conn in idle:
                 if server_conn not in reusable:
                     server_conn.close()
-            self._idle[start] = reusable
+            self._idle[incarnation] = reusable
 
-    async def _connect(self, server: Server) -> ServerChannel | str:
+    async def _connect(self, server: Server) -> ServerConnection | str:
         loop = asyncio.get_running_loop()
         host, _, port = server.address.rpartition(":")
         self.opened_count += 1
         try:
             with anyio.fail_after(CONNECT_TIMEOUT_S):
                 transport, server_conn = await loop.create_connection(
-                    lambda: ServerChannel(lambda: self._on_unexpected_data(server.id)),
+                    lambda: ServerConnection(
+                        lambda: self._on_unexpected_data(server.id)
+                    ),
                     host,
                     int(port),
                 )
@@ -96,7 +100,7 @@
         return server_conn
 
 
-def _reusable_until(server_conn: ServerChannel) -> float:
+def _reusable_until(server_conn: ServerConnection) -> float:
     keep_alive_s = DEFAULT_KEEP_ALIVE_S
     if server_conn.keep_alive_s is not None:
         keep_alive_s = max(0.0, server_conn.keep_alive_s - KEEP_ALIVE_MARGIN_S)
--- a/wisteriastair/relay/questions.py
+++ b/wisteriastair/relay/questions.py
@@ -6,7 +6,7 @@
 from typing import Final, NamedTuple
 
 from ..core.ledger import Entry, Turn
-from ..core.ledgerwire import Find, LedgerMessage, Spread, Write, WriteReply
+from ..core.ledgerwire import FanOutWrite, FindChain, LedgerMessage, Write, WriteReply
 from ..core.membership import (
     SLOTS,
     Member,
@@ -33,7 +33,7 @@
     """
 
     chain: tuple[Turn, ...]
-    home: str
+    chain_program: str
 
 
 class QuorumRequest(ABC):
@@ -52,14 +52,16 @@
         return len(replicas.members)
 
     @abstractmethod
-    def target_sets(self, view: View, losses: int) -> tuple[ReplicaSet, ...]:
+    def target_sets(self, view: View, max_failures: int) -> tuple[ReplicaSet, ...]:
         """Return the sets of replicas of which each must reach a quorum."""
 
     @abstractmethod
     def message(self, op: int, view: int, with_turns: bool) -> LedgerMessage:
         """Build the message for one replica."""
 
-    def spread(self, op: int, view: int, others: list[str]) -> Spread | None:
+    def fan_out_write(
+        self, op: int, view: int, others: list[str]
+    ) -> FanOutWrite | None:
         """Build the message that one replica forwards to the others.
 
         Returns
@@ -74,7 +76,9 @@
     ) -> bool:
         """Whether the replies complete the request."""
         disks = set(replies)
-        if not all(s.written(disks) and s.readable(disks) for s in sets):
+        if not all(
+            s.has_write_quorum(disks) and s.has_read_quorum(disks) for s in sets
+        ):
             return False
         return not _is_chain_missing(replies)
 
@@ -82,7 +86,7 @@
         self, sets: tuple[ReplicaSet, ...], replies: dict[str, WriteReply]
     ) -> bool:
         """Whether only the chain is missing and a replica has reported to have it."""
-        readable = all(s.readable(set(replies)) for s in sets)
+        readable = all(s.has_read_quorum(set(replies)) for s in sets)
         return readable and _is_chain_missing(replies)
 
 
@@ -104,23 +108,25 @@
         """
         return replicas.write + (0 if self._is_settlement else EXTRA_TARGETS)
 
-    def target_sets(self, view: View, losses: int) -> tuple[ReplicaSet, ...]:
+    def target_sets(self, view: View, max_failures: int) -> tuple[ReplicaSet, ...]:
         """Return the replicas of the program's slot."""
-        return replica_sets(view, slot_of_program(self._entry.program), losses)
+        return replica_sets(view, slot_of_program(self._entry.program), max_failures)
 
     def message(self, op: int, view: int, with_turns: bool) -> LedgerMessage:
         """Build a write of the records."""
         wanted = with_turns and bool(self.chain)
         return Write(op, view, self._entry, self.chain, wanted)
 
-    def spread(self, op: int, view: int, others: list[str]) -> Spread | None:
+    def fan_out_write(
+        self, op: int, view: int, others: list[str]
+    ) -> FanOutWrite | None:
         """Build a write that one replica forwards, if it contains turns.
 
         Several copies of each turn would fill the slow link of a relay.
         """
         if not self._entry.turns or not others:
             return None
-        return Spread(Write(op, view, self._entry, self.chain, False), others)
+        return FanOutWrite(Write(op, view, self._entry, self.chain, False), others)
 
 
 class SearchChain(QuorumRequest):
@@ -129,14 +135,16 @@
     def __init__(self, chain: str) -> None:
         self.chain = chain
 
-    def target_sets(self, view: View, losses: int) -> tuple[ReplicaSet, ...]:
+    def target_sets(self, view: View, max_failures: int) -> tuple[ReplicaSet, ...]:
         """Return the replicas of every slot."""
-        found = [s for slot in range(SLOTS) for s in replica_sets(view, slot, losses)]
+        found = [
+            s for slot in range(SLOTS) for s in replica_sets(view, slot, max_failures)
+        ]
         return tuple(dict.fromkeys(found))
 
     def message(self, op: int, view: int, with_turns: bool) -> LedgerMessage:
         """Build a search for the chain."""
-        return Find(op, view, self.chain, with_turns)
+        return FindChain(op, view, self.chain, with_turns)
 
     def is_complete(
         self, sets: tuple[ReplicaSet, ...], replies: dict[str, WriteReply]
@@ -145,7 +153,7 @@
         if first_chain(list(replies.values())) is not None:
             return True
         disks = set(replies)
-        readable = all(s.readable(disks) for s in sets)
+        readable = all(s.has_read_quorum(disks) for s in sets)
         return readable and not _is_chain_missing(replies)
 
 
@@ -159,7 +167,7 @@
     """Return the chain of the first reply that contains one, if any."""
     for reply in replies:
         if reply.turns:
-            return Granted(tuple(reply.turns), reply.home)
+            return Granted(tuple(reply.turns), reply.chain_program)
     return None
 
 
--- a/wisteriastair/relay/quota.py
+++ b/wisteriastair/relay/quota.py
@@ -18,17 +18,17 @@
 
 from ..clocks import boot_clock
 from ..core.customers import Customer
-from ..core.ledgerwire import AskPermit, LedgerMessage, PermitReply
+from ..core.ledgerwire import LedgerMessage, PermitReply, PermitRequest
 from ..core.membership import Member, View
 from ..core.quota import (
-    AHEAD_S,
-    USE_S,
-    Answer,
+    MAX_ADVANCE_S,
+    PERMIT_LIFETIME_S,
     Permit,
+    PermitStatus,
     QuotaBounds,
-    allowance,
-    asking_order,
-    holders_of,
+    holder_quota,
+    query_order,
+    quota_holders,
 )
 from ..peers.transport import Transport
 
@@ -36,9 +36,10 @@
 ANSWER_TIMEOUT_S: Final = 0.1
 # A holder that did not answer is asked after the others for this long.
 SUSPECT_DURATION_S: Final = 2.0
-# A permit older than this is requested again.  It must reach the server within `USE_S`
+# A permit older than this is requested again.  It must reach the server within
+# `PERMIT_LIFETIME_S`
 # of the request for it; the rest of that time is for the way to the server.
-MAX_PERMIT_AGE_S: Final = 0.7 * USE_S
+MAX_PERMIT_AGE_S: Final = 0.7 * PERMIT_LIFETIME_S
 # Pause before all holders are asked once more.
 RETRY_INTERVAL_S: Final = 0.05
 # The retry delay of a refused caller is the holder's, multiplied by a random factor up
@@ -78,7 +79,7 @@
         self.program = program
         self.kind = kind
         # Whether a permit that becomes valid a little later is accepted.
-        self.ahead = False
+        self.allow_delayed = False
         self.holder: Member | None = None
         # On the boot clock, which also runs while this machine is suspended: the
         # holder's bucket refills meanwhile, so an older permit is invalid.
@@ -192,19 +193,19 @@
             permit = await self._await_answer(pending, member, deadline)
             if permit is None:
                 continue
-            if permit.answer is Answer.GRANTED:
+            if permit.answer is PermitStatus.GRANTED:
                 return None
-            if permit.answer is Answer.SPENT:
+            if permit.answer is PermitStatus.EXHAUSTED:
                 exhausted.append((permit, member))
         if not exhausted:
             pending.holder = None
             return HoldersUnreachable(len(order), self._view().number)
         shortest, soonest = min(exhausted, key=lambda one: one[0].wait_s)
-        if shortest.wait_s <= AHEAD_S and not shortest.not_started:
+        if shortest.wait_s <= MAX_ADVANCE_S and not shortest.is_program_refused:
             # No holder has a permit now, so request the next one that becomes free.
-            pending.ahead = True
+            pending.allow_delayed = True
             permit = await self._await_answer(pending, soonest, deadline)
-            if permit is not None and permit.answer is Answer.GRANTED:
+            if permit is not None and permit.answer is PermitStatus.GRANTED:
                 return None
         retry_after_s = shortest.wait_s * random.uniform(1.0, MAX_RETRY_JITTER)
         return OverQuota(max(MIN_RETRY_AFTER_S, retry_after_s))
@@ -215,7 +216,7 @@
         """Return a holder's answer, if any; for a permit, wait until it is valid."""
         loop = asyncio.get_running_loop()
         is_stale = boot_clock() - pending.sent_at > MAX_PERMIT_AGE_S
-        if pending.holder != member or pending.ahead or is_stale:
+        if pending.holder != member or pending.allow_delayed or is_stale:
             self._send(pending, member)
         with anyio.move_on_after(
             max(0.0, min(ANSWER_TIMEOUT_S, deadline - loop.time()))
@@ -226,7 +227,7 @@
         if permit is None:
             self._suspect(member, loop.time())
             return None
-        if permit.answer is Answer.GRANTED and permit.wait_s > 0:
+        if permit.answer is PermitStatus.GRANTED and permit.wait_s > 0:
             await anyio.sleep(permit.wait_s)
         return permit
 
@@ -238,10 +239,10 @@
     def _query_order(self, pending: PendingPermit) -> list[Member]:
         quota = pending.customer.quota
         assert quota is not None, "only customers with a quota need permits"
-        count = allowance(quota, self._bounds).holders
-        holders = holders_of(self._view().members, pending.customer.name, count)
+        count = holder_quota(quota, self._bounds).holders
+        holders = quota_holders(self._view().members, pending.customer.name, count)
         now = asyncio.get_running_loop().time()
-        order = asking_order(holders, pending.program)
+        order = query_order(holders, pending.program)
         return sorted(order, key=lambda m: self._suspects.get(m.address, 0.0) > now)
 
     def _send(self, pending: PendingPermit, member: Member) -> None:
@@ -253,11 +254,11 @@
         pending.permit = None
         pending.replied = asyncio.Event()
         self._pending[pending.op] = pending
-        message = AskPermit(
+        message = PermitRequest(
             pending.op,
             pending.customer.name,
             pending.program,
             pending.kind,
-            pending.ahead,
+            pending.allow_delayed,
         )
         self._transport.send(member.address, message)
--- a/wisteriastair/relay/streams.py
+++ b/wisteriastair/relay/streams.py
@@ -15,9 +15,9 @@
 from ..core.fleet import ServerState
 from ..core.ledger import Turn
 from ..errors import Code, Failure
-from ..http1.messages import Head
-from ..http1.server import EndKind
-from ..platform.headers import caller_headers, is_genuine, server_headers
+from ..http1.messages import ResponseHead
+from ..http1.server import ExchangeOutcome
+from ..platform.headers import forwarded_headers, has_server_stamp, response_headers
 from .answers import is_server_error, send_failure
 from .chains import ChainCache
 from .dispatch import Dispatcher, NotRun, OutcomeUnknown, ResponseStarted, read_body
@@ -31,8 +31,8 @@
     TurnNotFound,
 )
 from .plain import (
-    MAX_REFUSALS,
     MAX_ANSWER_BYTES,
+    MAX_REFUSALS,
     NOT_RUN_STATUSES,
     RETRY_AFTER_S,
     SUCCESS_STATUSES,
@@ -40,7 +40,7 @@
 from .questions import Granted
 
 # Longest wait for a reservation; after it the caller is told to retry later.
-RESERVE_S: Final = 0.6
+RESERVE_TIMEOUT_S: Final = 0.6
 # Longest wait for a whole turn to become durable.  The caller has all events by then;
 # a failure lets it start the turn again while it has time.
 SETTLE_TIMEOUT_S: Final = 1.0
@@ -78,7 +78,7 @@
             Code.TIMED_OUT, "no answer in time", "unknown"
         )
         try:
-            with anyio.move_on_after(max(0.0, job.left_s())):
+            with anyio.move_on_after(max(0.0, job.remaining_s())):
                 failure = await self._run(turn)
         finally:
             if turn.reserved and not turn.settled and reservation is not None:
@@ -109,17 +109,19 @@
         job, reservation = turn.job, turn.reservation
         if reservation is None:
             return None
-        cached = self._chains.get(reservation.program, reservation.previous)
+        cached = self._chains.get(reservation.program, reservation.previous_id)
         if cached is not None:
-            reservation = reservation._replace(previous="")
+            reservation = reservation._replace(previous_id="")
         turn.reserved = True
-        deadline = min(job.deadline, job.req.received_at + RESERVE_S)
+        deadline = min(job.deadline, job.req.received_at + RESERVE_TIMEOUT_S)
         outcome = await self._ledger.reserve(reservation, deadline)
         job.ledger_s = job.elapsed_s()
         match outcome:
-            case Granted(chain, home):
-                turn.history = cached or b"".join(earlier.said for earlier in chain)
-                turn.foreign_chain = () if home == reservation.program else chain
+            case Granted(chain, chain_program):
+                turn.history = cached or b"".join(earlier.content for earlier in chain)
+                turn.foreign_chain = (
+                    () if chain_program == reservation.program else chain
+                )
                 return None
             case BudgetExceeded(reserved):
                 turn.settled = True
@@ -127,7 +129,9 @@
                 return Failure(Code.BUDGET_SPENT, detail)
             case TurnNotFound():
                 turn.settled = True
-                return Failure(Code.UNKNOWN_TURN, f"no turn {job.caller_req.previous}")
+                return Failure(
+                    Code.UNKNOWN_TURN, f"no turn {job.caller_req.previous_id}"
+                )
             case QuorumUnavailable(answered, required, view):
                 turn.settled = True
                 detail = f"{answered} of {required} replicas answered in view {view}"
@@ -138,12 +142,12 @@
         job, reservation = turn.job, turn.reservation
         if reservation is None:
             return None
-        if not job.route.keeps_history:
+        if not job.route.retains_history:
             turn.settled = True
             self._ledger.settle_in_background(reservation, turn.sent_tokens())
             return None
-        said = job.req.body + bytes(turn.events.content)
-        record = Turn(job.turn_id, reservation.previous, said)
+        content = job.req.body + bytes(turn.events.content)
+        record = Turn(job.turn_id, reservation.previous_id, content)
         turns = (*turn.foreign_chain, record)
         deadline = min(job.deadline, job.now() + SETTLE_TIMEOUT_S)
         if not await self._ledger.settle(
@@ -151,7 +155,7 @@
         ):
             return Failure(Code.LEDGER_AWAY, "the turn could not be kept", "yes")
         turn.settled = True
-        self._chains.put(reservation.program, job.turn_id, turn.history + said)
+        self._chains.put(reservation.program, job.turn_id, turn.history + content)
         return None
 
     # Servers
@@ -178,14 +182,14 @@
                 code = Code.SERVERS_FULL if excluded else Code.NO_SERVER
                 return Failure(code, detail, "no", RETRY_AFTER_S)
             job.tried.append(state.server.id)
-            headers = server_headers(
+            headers = forwarded_headers(
                 job.req,
-                left_s=job.left_s(),
+                remaining_s=job.remaining_s(),
                 server_id=state.server.id,
                 body_bytes=len(body),
-                urgency=min(MAX_ENGINE_PRIORITY, job.priority),
+                engine_priority=min(MAX_ENGINE_PRIORITY, job.priority),
                 customer=job.customer_name,
-                last_event=turn.events.last_id or None,
+                last_event_id=turn.events.last_id or None,
             )
             job.was_sent = True
             async with self._dispatcher.send(
@@ -204,7 +208,7 @@
             # Prefer the same server: it has the prompt in its cache, and a run on
             # another one counts towards the maximum of servers per request.
             resume_count += 1
-            resume_on = state if state.takes_work() else None
+            resume_on = state if state.accepts_requests() else None
             if resume_on is None:
                 excluded.add(error.server)
 
@@ -219,13 +223,13 @@
         server_id = outcome.state.server.id
         if head.status not in SUCCESS_STATUSES:
             return await self._forward_error(turn, outcome)
-        if not is_genuine(head):
+        if not has_server_stamp(head):
             return OutcomeUnknown(server_id, "a success without the server's stamp")
         error = await self._forward_events(turn, outcome)
         if error is not None:
             return error
-        outcome.state.succeeded(job.elapsed_s())
-        outcome.state.parts.note(job.caller_req.parts)
+        outcome.state.record_success(job.elapsed_s())
+        outcome.state.cached_segments.add(job.caller_req.parts)
         failure = await self._settle(turn)
         if failure is not None:
             return OutcomeUnknown(server_id, failure.detail)
@@ -243,9 +247,9 @@
             return OutcomeUnknown(started.state.server.id, f"status {status}")
         if is_server_error(status):
             # Otherwise it would look idle and attract the turns of all relays.
-            self._dispatcher.failed(started.state)
+            self._dispatcher.record_failure(started.state)
         job.status = status
-        job.caller_conn.respond(status, caller_headers(started.head), body)
+        job.caller_conn.respond(status, response_headers(started.head), body)
         return None
 
     async def _forward_events(
@@ -256,18 +260,18 @@
 
         def forward(data: bytes) -> bool:
             turn.forward(started.head, data)
-            return caller_conn.writable
+            return caller_conn.is_writable
 
         while exchange.end is None:
-            exchange.pass_to(forward)
-            await exchange.wait()
-            if not caller_conn.writable and exchange.end is None:
-                started.server_conn.pause()
-                await caller_conn.drained()
-                started.server_conn.resume()
-        forward(exchange.take())
+            exchange.forward_to(forward)
+            await exchange.wait_data()
+            if not caller_conn.is_writable and exchange.end is None:
+                started.server_conn.pause_reading()
+                await caller_conn.wait_writable()
+                started.server_conn.resume_reading()
+        forward(exchange.read_available())
         server_id = started.state.server.id
-        if exchange.end.kind is not EndKind.WHOLE:
+        if exchange.end.outcome is not ExchangeOutcome.COMPLETE:
             turn.events.partial = b""
             return OutcomeUnknown(server_id, exchange.end.reason)
         if turn.events.partial:
@@ -304,17 +308,17 @@
         self.response_started = False
         self.reserved = False
         self.settled = False
-        self.events = EventSplitter(collect=job.route.keeps_history)
+        self.events = EventSplitter(collect=job.route.retains_history)
 
-    def start_response(self, head: Head) -> None:
+    def start_response(self, head: ResponseHead) -> None:
         """Send the head of the response, unless it has been sent already."""
         if self.response_started:
             return
         self.response_started = True
         self.job.first_event_s = self.job.elapsed_s()
-        self.job.caller_conn.begin(Head(head.status, caller_headers(head)))
+        self.job.caller_conn.begin(ResponseHead(head.status, response_headers(head)))
 
-    def forward(self, head: Head, data: bytes) -> None:
+    def forward(self, head: ResponseHead, data: bytes) -> None:
         """Forward the events that are now whole to the caller."""
         whole = self.events.feed(data)
         if not whole:
@@ -339,7 +343,7 @@
     caller_req = job.caller_req
     if not caller_req.program:
         return None
-    if caller_req.budget is None and not job.route.keeps_history:
+    if caller_req.budget is None and not job.route.retains_history:
         return None
     return Reservation(
         job.scoped_id(caller_req.program),
@@ -347,5 +351,5 @@
         caller_req.output_tokens,
         caller_req.budget,
         job.route.retention_s,
-        job.scoped_id(caller_req.previous) if job.route.keeps_history else "",
+        job.scoped_id(caller_req.previous_id) if job.route.retains_history else "",
     )
