--- a/tests/relay/test_stopping.py
+++ b/tests/relay/test_stopping.py
@@ -226,7 +226,7 @@
             )
             for _ in range(turns):
                 await asyncio.sleep(0)
-            relay._stop.set()
+            relay._shutdown_requested.set()
         await anyio.sleep(0.1)
         late.settimeout(0.1)
         try:
--- a/wisteriastair/relay/daemon.py
+++ b/wisteriastair/relay/daemon.py
@@ -96,14 +96,14 @@
         )
         self._ready = ReadyHandler(self._is_ready)
         self._caller_conns: set[CallerConnection] = set()
-        self._stop = anyio.Event()
+        self._shutdown_requested = anyio.Event()
         self._logged_errors: dict[str, str] = {}
         self._has_listing = False
         self._has_keeper_documents = False
         self._transport: Transport[LedgerMessage]
 
     async def run(self) -> None:
-        """Run until a signal requests a stop."""
+        """Run until a signal requests a shutdown."""
         log.info("relay started")
         self._transport = transport = Transport(
             f"{self._cfg.internal}#{uuid.uuid4().hex[:8]}",
@@ -141,12 +141,12 @@
                 *_host_and_port(self._cfg.ready),
             ),
         ]
-        await self._stop.wait()
+        await self._shutdown_requested.wait()
         assert self._handler.shutdown is not None, "set together with the event"
         drain = Drain(self._handler, self._ledger, self._caller_conns)
         await drain.run(self._handler.shutdown, listeners)
 
-    # Stopping
+    # Shutdown
 
     async def _watch_signals(self) -> None:
         with anyio.open_signal_receiver(
@@ -160,13 +160,13 @@
                 if self._handler.shutdown is None:
                     now = asyncio.get_running_loop().time()
                     self._handler.shutdown = Shutdown(now, self._cfg.grace_s)
-                self._stop.set()
+                self._shutdown_requested.set()
 
     def _is_ready(self) -> bool:
-        has_listing = self._has_listing or self._has_keeper_documents
-        has_documents = self._handler.table is not None and has_listing
+        has_documents = self._has_listing or self._has_keeper_documents
+        is_configured = self._handler.table is not None and has_documents
         return (
-            has_documents
+            is_configured
             and self._ledger.is_reachable
             and self._handler.shutdown is None
         )
@@ -302,14 +302,14 @@
             },
         )
 
-    def _log_invalid(self, bad: InvalidDocument) -> None:
+    def _log_invalid(self, document: InvalidDocument) -> None:
         """Log a decode error, unless the last one of the key had the same reason."""
-        if self._logged_errors.get(bad.key) == bad.reason:
+        if self._logged_errors.get(document.key) == document.reason:
             return
-        self._logged_errors[bad.key] = bad.reason
+        self._logged_errors[document.key] = document.reason
         log.error(
             "value in the store does not decode",
-            extra={"key": bad.key, "reason": bad.reason},
+            extra={"key": document.key, "reason": document.reason},
         )
 
     def _on_unexpected_data(self, server_id: str) -> None:
--- a/wisteriastair/relay/drain.py
+++ b/wisteriastair/relay/drain.py
@@ -1,4 +1,4 @@
-"""Graceful stop of a relay.
+"""Graceful shutdown of a relay.
 
 The relay continues to serve at first, then refuses new requests and finishes the
 accepted ones.  The process ends when every request it has read is answered, all
@@ -28,12 +28,12 @@
 
 
 class Drain:
-    """Runs the stop of a relay, from the signal to the end of the process.
+    """Runs the shutdown of a relay, from the signal to the end of the process.
 
     Parameters
     ----------
     handler : RelayHandler
-        Accepts requests until the drain stops that.
+        Accepts requests until this class sets `stopped_accepting`.
     ledger : LedgerClient
         Runs settlements in the background.
     caller_conns : set of CallerConnection
@@ -58,7 +58,7 @@
         Parameters
         ----------
         shutdown : Shutdown
-            The stop that the signal began.
+            The shutdown that the signal started.
         listeners : sequence of asyncio.Server
             Listening sockets; closed when all accepted requests have ended.
         """
@@ -76,8 +76,8 @@
     async def _serve_while_accepting(self, shutdown: Shutdown) -> None:
         """Serve until requests are no longer accepted, or no caller is connected.
 
-        The platform still sends callers until it notices the stop, and also while most
-        relays of the failure domain are stopping.  Each answer ends its connection.
+        The platform still sends callers until it notices the shutdown, and also while
+        most relays of the failure domain shut down.  Each answer ends its connection.
         """
         loop = asyncio.get_running_loop()
         while not self._handler.rejects_new_requests():
@@ -116,7 +116,7 @@
     async def _wait_until(
         self, shutdown: Shutdown, condition: Callable[[], bool]
     ) -> bool:
-        """Wait for a condition; return False if the stop ends first."""
+        """Wait for a condition; return False if the shutdown ends first."""
         loop = asyncio.get_running_loop()
         while not condition():
             if loop.time() >= shutdown.ends_at:
--- a/wisteriastair/relay/handler.py
+++ b/wisteriastair/relay/handler.py
@@ -28,8 +28,8 @@
 from .quota import QuotaClient
 from .streams import StreamRelay
 
-# Delay before a retry on another process while this one is stopping.  Short, but long
-# enough that callers do not spin when all processes are stopping.
+# Delay before a retry on another process while this one shuts down.  Short, but long
+# enough that callers do not spin when all processes shut down.
 STOPPING_RETRY_S: Final = 0.05
 
 log = logging.getLogger(__name__)
@@ -58,9 +58,9 @@
     is_config_current : bool
         Whether the configuration is known to be the newest one.
     shutdown : Shutdown or None
-        The planned stop under way.
+        The planned shutdown in progress.
     stopped_accepting : bool
-        Whether the planned stop has ended the acceptance of requests.
+        Whether new requests are refused because of the shutdown.
     active_requests : int
         Number of requests that were accepted and have not ended.
     """
@@ -234,7 +234,7 @@
     Parameters
     ----------
     is_ready : callable
-        Whether the process has all that it needs to serve callers, and is not stopping.
+        Whether the process can serve callers and is not shutting down.
     """
 
     def __init__(self, is_ready: Callable[[], bool]) -> None:
--- a/wisteriastair/relay/job.py
+++ b/wisteriastair/relay/job.py
@@ -49,7 +49,7 @@
     Parameters
     ----------
     shutdown : Shutdown or None
-        The planned stop that was under way when the request was accepted.
+        The planned shutdown in progress when the request was accepted.
     customer : Customer or None
         The customer; None on a route without keys.
     quota_check : QuotaCheck
@@ -90,7 +90,7 @@
         self.customer_name: str | None = None
         if table.customers is not None:
             self.customer_name = customer.name if customer else ""
-        self._config = table.version
+        self._config_version = table.version
         self._shutdown = shutdown
         wait_s = DEFAULT_TIMEOUT_S if caller_req.wait_s is None else caller_req.wait_s
         if route.timeout_s > 0:
@@ -130,8 +130,8 @@
         """Log the end of the request."""
         stopping = {}
         if self._shutdown is not None:
-            since_stop_s = self.req.received_at - self._shutdown.started_at
-            stopping["stopping_ms"] = round(since_stop_s * 1000)
+            since_shutdown_s = self.req.received_at - self._shutdown.started_at
+            stopping["stopping_ms"] = round(since_shutdown_s * 1000)
         log.info(
             "request ended" if self.status else "request broken off",
             extra={
@@ -141,7 +141,7 @@
                 "customer": self.customer_name or "",
                 "route": self.route.name,
                 "service": self.service,
-                "config": self._config,
+                "config": self._config_version,
                 "status": self.status,
                 "reason": self.reason,
                 "servers": self.tried,
--- a/wisteriastair/relay/ledger.py
+++ b/wisteriastair/relay/ledger.py
@@ -1,4 +1,4 @@
-"""Ledger client of a relay: reservations, settlements and chains, read by quorum.
+"""Ledger client of a relay: reserves and settles tokens and reads chains by quorum.
 
 A request is complete when enough replicas of the program's slot have answered.  A
 reservation is first sent to one replica more than must answer, so that the failure of
--- a/wisteriastair/relay/plain.py
+++ b/wisteriastair/relay/plain.py
@@ -19,7 +19,7 @@
 
 # Responses are buffered in memory while they are read.
 MAX_ANSWER_BYTES: Final = 8 * 1024 * 1024
-# Number of servers that are tried in vain before the caller is told to retry later.
+# Maximum number of servers that may refuse or fail one request.
 MAX_REFUSALS: Final = 3
 # Delay before a retry if the servers are full or the configuration is missing.
 RETRY_AFTER_S: Final = 0.2
--- a/wisteriastair/relay/questions.py
+++ b/wisteriastair/relay/questions.py
@@ -27,7 +27,7 @@
     ----------
     chain : tuple of Turn
         The requested chain, the oldest turn first.
-    owner : str
+    chain_program : str
         Program that the chain belongs to: another program than the turn's if any part
         of the chain belongs to one.
     """
--- a/wisteriastair/relay/streams.py
+++ b/wisteriastair/relay/streams.py
@@ -287,7 +287,7 @@
     Attributes
     ----------
     history : bytes
-        Text of the turns before this one.
+        Content of the turns before this one.
     foreign_chain : tuple of Turn
         Turns of an earlier program, to be written together with this one: the records
         of that program expire on their own.
