--- a/tests/relay/bench.py
+++ b/tests/relay/bench.py
@@ -36,9 +36,9 @@
         print(harness.port, flush=True)
         loop = asyncio.get_running_loop()
         await loop.run_in_executor(None, sys.stdin.readline)
-        began = time.process_time()
+        started_at = time.process_time()
         await loop.run_in_executor(None, sys.stdin.readline)
-        print(time.process_time() - began, flush=True)
+        print(time.process_time() - started_at, flush=True)
 
 
 async def _stream_events(exchange: Exchange) -> None:
@@ -75,13 +75,13 @@
     await _run_turns(port, "warm", 100)
     relay.stdin.write("\n")
     relay.stdin.flush()
-    began = time.monotonic()
+    started_at = time.monotonic()
     async with anyio.create_task_group() as group:
         for number in range(CONCURRENT_CALLERS):
             group.start_soon(
                 _run_turns, port, f"c{number}", TURNS // CONCURRENT_CALLERS
             )
-    took_s = time.monotonic() - began
+    took_s = time.monotonic() - started_at
     relay.stdin.write("\n")
     relay.stdin.flush()
     used_s = float(await anyio.to_thread.run_sync(relay.stdout.readline))
--- a/tests/relay/test_customers.py
+++ b/tests/relay/test_customers.py
@@ -228,10 +228,10 @@
         assert (
             await harness.request("turn", "t", **bearer("one", **TURN))
         ).status == 503
-        began = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         reply = await harness.request("unsafe", "a", **bearer("one"))
         assert reply.status == 503 and "Retry-After" in reply.head
-        assert asyncio.get_running_loop().time() - began < 0.2
+        assert asyncio.get_running_loop().time() - started_at < 0.2
         assert not server.exchanges
 
     run_with_customers(customers(Quota(100.0, 100.0)), [server], scenario)
--- a/tests/relay/test_daemon.py
+++ b/tests/relay/test_daemon.py
@@ -89,7 +89,7 @@
         relay.send_signal(signal.SIGTERM)
         replies: dict[str, Reply] = {}
 
-        async def ask(request_id: str) -> None:
+        async def send_request(request_id: str) -> None:
             try:
                 streams = await asyncio.open_connection(RELAY_IP, deployment.front)
                 caller = Caller(*streams)
@@ -102,7 +102,7 @@
             number = 0
             while relay.poll() is None:
                 number += 1
-                callers.start_soon(ask, f"late-{number}")
+                callers.start_soon(send_request, f"late-{number}")
                 await anyio.sleep(0.1)
         assert relay.returncode == 0
         ran = {exchange.header("X-Request-Id") for exchange in server.exchanges}
--- a/tests/relay/test_ledger.py
+++ b/tests/relay/test_ledger.py
@@ -47,7 +47,7 @@
     anyio.run(main)
 
 
-def deadline() -> float:
+def request_deadline() -> float:
     return asyncio.get_running_loop().time() + REQUEST_TIMEOUT_S
 
 
@@ -65,17 +65,18 @@
         for number in range(8):
             old = reservation(f"old{number}", f"a{number}")
             turn = Turn(f"t{number}", "", b"said\n")
-            assert isinstance(await client.reserve(old, deadline()), Granted)
-            assert await client.settle(old, 10, (turn,), deadline())
+            assert isinstance(await client.reserve(old, request_deadline()), Granted)
+            assert await client.settle(old, 10, (turn,), request_deadline())
             new = reservation(f"new{number}", f"b{number}", previous=f"t{number}")
-            granted = await client.reserve(new, deadline())
+            granted = await client.reserve(new, request_deadline())
             assert granted == Granted((turn,), old.program)
             more = Turn(f"u{number}", f"t{number}", b"more\n")
-            assert await client.settle(new, 10, (turn, more), deadline())
+            assert await client.settle(new, 10, (turn, more), request_deadline())
             for core in keepers.cores.values():
                 core.ledger.accounts.pop(old.program, None)
             after = await client.reserve(
-                reservation(new.program, f"c{number}", previous=more.id), deadline()
+                reservation(new.program, f"c{number}", previous=more.id),
+                request_deadline(),
             )
             assert after == Granted((turn, more), new.program)
 
@@ -92,10 +93,14 @@
 
     async def scenario() -> None:
         client = keepers.client
-        outcome = await client.reserve(reservation("p", "a", previous="t9"), deadline())
+        outcome = await client.reserve(
+            reservation("p", "a", previous="t9"), request_deadline()
+        )
         assert isinstance(outcome, TurnNotFound)
         keepers.unreachable = {"k1:1", "k2:1"}
-        outcome = await client.reserve(reservation("p", "b", previous="t9"), deadline())
+        outcome = await client.reserve(
+            reservation("p", "b", previous="t9"), request_deadline()
+        )
         assert isinstance(outcome, QuorumUnavailable)
 
     run_scenario(keepers, scenario)
@@ -108,7 +113,7 @@
     async def scenario() -> None:
         client = keepers.client
         assert isinstance(
-            await client.reserve(reservation("p", "a"), deadline()), Granted
+            await client.reserve(reservation("p", "a"), request_deadline()), Granted
         )
         assert client.resend_count == 0
 
@@ -121,14 +126,16 @@
     async def scenario() -> None:
         client = keepers.client
         first = reservation("p", "a", 600)
-        assert isinstance(await client.reserve(first, deadline()), Granted)
+        assert isinstance(await client.reserve(first, request_deadline()), Granted)
         assert isinstance(
-            await client.reserve(reservation("p", "b", 600), deadline()), BudgetExceeded
+            await client.reserve(reservation("p", "b", 600), request_deadline()),
+            BudgetExceeded,
         )
-        assert await client.settle(first, 100, (), deadline())
+        assert await client.settle(first, 100, (), request_deadline())
         await asyncio.sleep(0.01)
         assert isinstance(
-            await client.reserve(reservation("p", "c", 600), deadline()), Granted
+            await client.reserve(reservation("p", "c", 600), request_deadline()),
+            Granted,
         )
 
     run_scenario(keepers, scenario)
@@ -147,7 +154,7 @@
             core.adopt(newer, 0.0, 2)
         client = keepers.client
         assert isinstance(
-            await client.reserve(reservation("p", "a"), deadline()), Granted
+            await client.reserve(reservation("p", "a"), request_deadline()), Granted
         )
         assert client.view.number == 2
 
@@ -172,10 +179,10 @@
     async def scenario() -> None:
         client = keepers.client
         first = reservation("p", "a")
-        assert isinstance(await client.reserve(first, deadline()), Granted)
+        assert isinstance(await client.reserve(first, request_deadline()), Granted)
         keepers.sent_bytes = 0
         turn = Turn("t", "", b"x" * 17_000)
-        assert await client.settle(first, 10, (turn,), deadline())
+        assert await client.settle(first, 10, (turn,), request_deadline())
         assert keepers.sent_bytes < 20_000
         assert count_synced(keepers, "p", "t") == 3
 
@@ -197,13 +204,15 @@
             for number in range(4):
                 reserved = reservation("p", f"a{number}")
                 assert isinstance(
-                    await case.client.reserve(reserved, deadline()), Granted
+                    await case.client.reserve(reserved, request_deadline()), Granted
                 )
-                began = loop.time()
+                started_at = loop.time()
                 turn = Turn(f"t{number}", "", b"x")
-                assert await case.client.settle(reserved, 10, (turn,), deadline())
+                assert await case.client.settle(
+                    reserved, 10, (turn,), request_deadline()
+                )
                 assert count_synced(case, "p", f"t{number}") >= 2
-                assert number == 0 or loop.time() - began < 0.05
+                assert number == 0 or loop.time() - started_at < 0.05
 
         run_scenario(keepers, scenario)
 
@@ -222,10 +231,12 @@
         for lost in keepers.cores:
             keepers.unreachable = {lost}
             keepers.sent_count = 0
-            began = loop.time()
+            started_at = loop.time()
             reserved = reservation("p", f"without {lost}")
-            assert isinstance(await client.reserve(reserved, deadline()), Granted)
-            assert loop.time() - began < 0.1
+            assert isinstance(
+                await client.reserve(reserved, request_deadline()), Granted
+            )
+            assert loop.time() - started_at < 0.1
             assert keepers.sent_count == 4
 
     run_scenario(keepers, scenario)
@@ -237,13 +248,14 @@
     async def scenario() -> None:
         client = keepers.client
         first = reservation("p", "a")
-        assert isinstance(await client.reserve(first, deadline()), Granted)
+        assert isinstance(await client.reserve(first, request_deadline()), Granted)
         keepers.sent_count = 0
         client.settle_in_background(first, 10)
         await asyncio.sleep(0.05)
         assert keepers.sent_count == 3
         assert isinstance(
-            await client.reserve(reservation("p", "b", 990), deadline()), Granted
+            await client.reserve(reservation("p", "b", 990), request_deadline()),
+            Granted,
         )
 
     run_scenario(keepers, scenario)
@@ -259,11 +271,13 @@
         times = []
         for number in range(3):
             settled = reservation("p", f"a{number}")
-            assert isinstance(await client.reserve(settled, deadline()), Granted)
-            began = loop.time()
+            assert isinstance(
+                await client.reserve(settled, request_deadline()), Granted
+            )
+            started_at = loop.time()
             turn = Turn(f"t{number}", "", b"x")
-            assert await client.settle(settled, 10, (turn,), deadline())
-            times.append(loop.time() - began)
+            assert await client.settle(settled, 10, (turn,), request_deadline())
+            times.append(loop.time() - started_at)
         assert times[0] > 0.1
         assert max(times[1:]) < 0.05
 
@@ -277,14 +291,16 @@
         client = keepers.client
         keepers.unreachable = {"k0:1"}
         first = reservation("p", "a")
-        assert isinstance(await client.reserve(first, deadline()), Granted)
+        assert isinstance(await client.reserve(first, request_deadline()), Granted)
         turn = Turn("t", "", b"said")
-        assert await client.settle(first, 10, (turn,), deadline())
+        assert await client.settle(first, 10, (turn,), request_deadline())
         keepers.unreachable = set()
-        began = asyncio.get_running_loop().time()
-        granted = await client.reserve(reservation("p", "b", previous="t"), deadline())
+        started_at = asyncio.get_running_loop().time()
+        granted = await client.reserve(
+            reservation("p", "b", previous="t"), request_deadline()
+        )
         assert granted == Granted((turn,), "p")
-        assert asyncio.get_running_loop().time() - began < 0.05
+        assert asyncio.get_running_loop().time() - started_at < 0.05
 
     run_scenario(keepers, scenario)
 
@@ -304,14 +320,18 @@
         for number, unreachable in enumerate(("k2:1", "k1:1", "k2:1")):
             keepers.unreachable = {unreachable}
             reserved = reservation("p", f"a{number}")
-            assert isinstance(await client.reserve(reserved, deadline()), Granted)
+            assert isinstance(
+                await client.reserve(reserved, request_deadline()), Granted
+            )
             turn = Turn(f"t{number}", last, f"{number}".encode())
-            assert await client.settle(reserved, 1, (turn,), deadline())
+            assert await client.settle(reserved, 1, (turn,), request_deadline())
             last = turn.id
         for core in keepers.cores.values():
             assert core.me.disk != "disk1" or not core.ledger.find("t1").chain
         keepers.unreachable = {"k0:1"}
-        granted = await client.reserve(reservation("p", "b", previous=last), deadline())
+        granted = await client.reserve(
+            reservation("p", "b", previous=last), request_deadline()
+        )
         assert isinstance(granted, Granted)
         assert [turn.content for turn in granted.chain] == [b"0", b"1", b"2"]
         assert granted.chain_program == "p"
@@ -331,7 +351,7 @@
         client = keepers.client
         for number in range(5):
             early = reservation(f"p{number}", "a")
-            assert isinstance(await client.reserve(early, deadline()), Granted)
+            assert isinstance(await client.reserve(early, request_deadline()), Granted)
             client.settle_in_background(early, 1)
         keepers.unreachable = {"k0:1", "k1:1", "k2:1"}
         for number in range(5):
@@ -342,7 +362,7 @@
         keepers.unreachable = {"k0:1", "k1:1"}
         asyncio.get_running_loop().call_later(0.1, keepers.unreachable.clear)
         assert isinstance(
-            await client.reserve(reservation("q", "c"), deadline()), Granted
+            await client.reserve(reservation("q", "c"), request_deadline()), Granted
         )
 
     run_scenario(keepers, scenario)
@@ -355,7 +375,7 @@
     async def scenario() -> None:
         client = keepers.client
         assert isinstance(
-            await client.reserve(reservation("p", "a"), deadline()), Granted
+            await client.reserve(reservation("p", "a"), request_deadline()), Granted
         )
         keepers.unreachable = set(keepers.cores)
         client.settle_in_background(reservation("p", "a"), 10)
@@ -379,12 +399,12 @@
 
     async def scenario() -> None:
         client = keepers.client
-        outcome = await client.reserve(reservation("p", "a"), deadline())
+        outcome = await client.reserve(reservation("p", "a"), request_deadline())
         assert isinstance(outcome, QuorumUnavailable)
         client.adopt_view(keepers.view)
         while client.pending_settlements:
             await anyio.sleep(0.05)
-        kept = [core.ledger.accounts.get("p") for core in keepers.cores.values()]
-        assert sum(account is not None for account in kept) >= 2
+        accounts = [core.ledger.accounts.get("p") for core in keepers.cores.values()]
+        assert sum(account is not None for account in accounts) >= 2
 
     run_scenario(keepers, scenario)
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -243,10 +243,10 @@
         assert harness.keepers.client.is_reachable
         assert (await harness.request("turn", "t1", **TURN)).status == 503
         assert not harness.keepers.client.is_reachable
-        began = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         reply = await harness.request("turn", "t2", **TURN)
         assert reply.status == 503 and "Retry-After: " in reply.head
-        assert asyncio.get_running_loop().time() - began < 0.1
+        assert asyncio.get_running_loop().time() - started_at < 0.1
         harness.keepers.unreachable = set()
         await harness.keepers.client.probe()
         assert harness.keepers.client.is_reachable
--- a/tests/relay/test_silence.py
+++ b/tests/relay/test_silence.py
@@ -12,7 +12,7 @@
     run_scenario,
 )
 
-WARM = 20
+WARMUP_REQUESTS = 20
 
 
 async def hang(exchange: Exchange) -> None:
@@ -28,7 +28,7 @@
     servers = [ScriptedServer("s1", answer_ok), ScriptedServer("s2", answer_ok)]
 
     async def scenario(harness: RelayHarness) -> None:
-        for number in range(WARM):
+        for number in range(WARMUP_REQUESTS):
             assert (await harness.request("safe", f"warm{number}")).status == 200
         # The server with an idle connection, which the next request uses.
         max(servers, key=lambda server: len(server.exchanges)).script = hang
@@ -45,7 +45,7 @@
     servers = [ScriptedServer("s1", answer_ok), ScriptedServer("s2", answer_ok)]
 
     async def scenario(harness: RelayHarness) -> None:
-        for number in range(WARM):
+        for number in range(WARMUP_REQUESTS):
             assert (await harness.request("unsafe", f"warm{number}")).status == 200
         for server in servers:
             server.script = hang
--- a/tests/relay/test_stopping.py
+++ b/tests/relay/test_stopping.py
@@ -71,11 +71,11 @@
     )
     await loop.sock_sendall(sock, head.encode())
     received = b""
-    began = loop.time()
+    started_at = loop.time()
     try:
         while data := await loop.sock_recv(sock, CHUNK_BYTES):
             received += data
-            await anyio.sleep(max(0.0, began + len(received) / rate - loop.time()))
+            await anyio.sleep(max(0.0, started_at + len(received) / rate - loop.time()))
     except ConnectionError:
         pass
     sock.close()
@@ -304,11 +304,11 @@
             assert (await deployment.run_turn(ip, f"first-{ip}", ip)).status == 200
         replies: list[Reply] = []
 
-        async def ask() -> None:
+        async def send_request() -> None:
             replies.append(await turn(deployment, RELAY_IP, "cut", 900))
 
         async with anyio.create_task_group() as group:
-            group.start_soon(ask)
+            group.start_soon(send_request)
             await anyio.sleep(0.5)
             relay.send_signal(signal.SIGTERM)
         assert not replies[0].whole
--- a/wisteriastair/relay/questions.py
+++ b/wisteriastair/relay/questions.py
@@ -66,7 +66,7 @@
 
         Returns
         -------
-        Spread or None
+        FanOutWrite or None
             None if the request is sent to each replica.
         """
         return None
