--- a/tests/core/test_chaos.py
+++ b/tests/core/test_chaos.py
@@ -9,9 +9,9 @@
 
 from tests.core.chaos import FAULT_COLUMNS, Report, run_chaos
 from tests.core.deployments import office, start
-from wisteriastair.core.carrier import RETAIN_S
+from wisteriastair.core.carrier import ENDED_RETENTION_S
 from wisteriastair.core.config import CONFIG_KEY, EMPTY_CONFIG, encode_config
-from wisteriastair.core.docs import Doc, Docs
+from wisteriastair.core.docs import Docs, Document
 from wisteriastair.core.events import Received
 from wisteriastair.core.gate import Gate
 from wisteriastair.core.program import Program
@@ -48,7 +48,7 @@
 
 
 def take_any_revision(self: Docs, key: str, revision: int, value: bytes) -> bool:
-    self.held[key] = Doc(revision, value)
+    self.stored[key] = Document(revision, value)
     return False
 
 
@@ -59,7 +59,7 @@
 def test_checker_sees_a_repeated_unknown_outcome(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(Program, "_fatal", repeat_unknown_outcomes)
+    monkeypatch.setattr(Program, "_fatal_failure", repeat_unknown_outcomes)
     assert fails_on_some_seed("ran_twice")
 
 
@@ -117,11 +117,11 @@
     core = deployment.side("m1")
     if broken:
         patched = partial(take_any_revision, core.docs)
-        setattr(core.docs, "offer", patched)  # noqa: B010
-    held = core.docs.held[CONFIG_KEY]
-    old = DocPush(CONFIG_KEY, held.revision - 1, encode_config(EMPTY_CONFIG))
+        setattr(core.docs, "store_if_newer", patched)  # noqa: B010
+    stored = core.docs.stored[CONFIG_KEY]
+    old = DocPush(CONFIG_KEY, stored.revision - 1, encode_config(EMPTY_CONFIG))
     core.step(Received("side-m2:1#2", old), deployment.now)
-    return core.docs.held[CONFIG_KEY].revision - held.revision
+    return core.docs.stored[CONFIG_KEY].revision - stored.revision
 
 
 def test_configuration_never_reverts() -> None:
@@ -137,9 +137,9 @@
     """After all that has gone wrong, every daemon forgets what has ended."""
     report, chaos = run_chaos(4)
     assert not any(faults_of(report).values())
-    chaos.deployment.run(RETAIN_S + 200.0)
+    chaos.deployment.run(ENDED_RETENTION_S + 200.0)
     for node in chaos.deployment.nodes.values():
         if isinstance(node.core, SideCore) and node.alive and not node.drained:
             assert not node.core.programs.by_name
             assert all(not gate.holds() for gate in node.core.gates.values())
-            assert all(gate.remembered == 0 for gate in node.core.gates.values())
+            assert all(gate.call_count == 0 for gate in node.core.gates.values())
--- a/tests/core/test_failures.py
+++ b/tests/core/test_failures.py
@@ -16,7 +16,7 @@
     start,
     streamed,
 )
-from wisteriastair.core.carrier import RETAIN_S
+from wisteriastair.core.carrier import ENDED_RETENTION_S
 from wisteriastair.core.entry import Ask, Done
 from wisteriastair.core.hashing import program_id
 from wisteriastair.core.side import SideCore
@@ -268,12 +268,12 @@
     deployment = office()
     request = deployment.ask(start("k"))
     run_all(deployment, [request])
-    deployment.run(RETAIN_S + 30.0)
+    deployment.run(ENDED_RETENTION_S + 30.0)
     program = program_id("citizens", "k")
     for node in deployment.nodes.values():
         if isinstance(node.core, SideCore):
             assert program not in node.core.programs.by_name
-            assert not node.core.slots.holds(program)
+            assert not node.core.slots.has_entries(program)
     late = deployment.ask(Ask("attach", "citizens", program=program))
     run_all(deployment, [late])
     last = deployment.last(late)
--- a/tests/core/test_replica_model.py
+++ b/tests/core/test_replica_model.py
@@ -48,7 +48,7 @@
 class Rules(NamedTuple):
     """The transitions under test; a broken variant replaces one of them."""
 
-    advance: Callable[..., Replica] = rp.acknowledged
+    advance: Callable[..., Replica] = rp.receive_ack
     receive: Callable[..., tuple[Replica, int]] = rp.receive_entries
     takeover: Callable[[Replica], Row | None] = rp.takeover_row
     observe: Callable[[Replica, Row], Replica] = rp.observe_row
@@ -125,7 +125,7 @@
     if replica.learner:
         target = (replica.me, replica.learner, replica.epoch, replica.session)
         steps.append((f"{replica.me} copies", send(world, ("copy", *target, node.log))))
-        if replica.learnt >= 0:
+        if replica.learner_acked >= 0:
             steps.append(
                 (f"{replica.me} feeds", send(world, ("append", *target, node.log)))
             )
@@ -157,14 +157,14 @@
         return release(put(world, index, after), after)
     ack = ("ack", receiver, sender, epoch, session)
     if kind == "copy":
-        changed = rp.learn(
+        changed = rp.become_learner(
             replica, sender=sender, epoch=epoch, session=session, last=len(payload)
         )
         if changed == replica or (replica.role is Role.LEARNER and payload != node.log):
             return world
         world = put(world, index, Node(changed, payload))
         return send(world, (*ack, len(payload)))
-    changed, taken = rules.receive(
+    changed, accepted_count = rules.receive(
         replica,
         sender=sender,
         epoch=epoch,
@@ -172,9 +172,9 @@
         first=1,
         count=len(payload),
     )
-    if taken < 0:
+    if accepted_count < 0:
         return world
-    log = payload if taken else node.log
+    log = payload if accepted_count else node.log
     return send(put(world, index, Node(changed, log)), (*ack, changed.last))
 
 
@@ -216,7 +216,7 @@
         return rules.old_epochs_matter and kind == "append"
     if kind != "ack" or node.replica.epoch < epoch:
         return True
-    known = node.replica.acked if session == 0 else node.replica.learnt
+    known = node.replica.standby_acked if session == 0 else node.replica.learner_acked
     return bool(payload > known)
 
 
@@ -310,7 +310,7 @@
 
 
 def commit_without_standby(replica: Replica, **ack: Any) -> Replica:
-    changed = rp.acknowledged(replica, **ack)
+    changed = rp.receive_ack(replica, **ack)
     if changed.role is Role.CARRIER:
         return changed._replace(committed=changed.last)
     return changed
@@ -333,7 +333,7 @@
 
 
 def name_before_copy(replica: Replica) -> Replica:
-    return rp.propose_learner(replica._replace(learnt=replica.last))
+    return rp.propose_learner(replica._replace(learner_acked=replica.last))
 
 
 BROKEN = {
