--- a/wisteriastair/core/calls.py
+++ b/wisteriastair/core/calls.py
@@ -166,7 +166,10 @@
     # Messages from gates
 
     def _find_open_call(self, call: CallId) -> Running | None:
-        """Return the program whose open call this is; None if the message is late."""
+        """Return the program whose open call this is; None if the message is late.
+
+        Also records the time of the message.
+        """
         run = self._programs.by_name.get(call.program)
         if run is None or run.program.call is None or run.ending:
             return None
--- a/wisteriastair/core/entry.py
+++ b/wisteriastair/core/entry.py
@@ -1,4 +1,4 @@
-"""The entry: relays requests of callers to primaries.
+"""The entry: forwards requests of callers to primaries.
 
 An entry has no durable state.  It has the slot table and repeats each pending request
 to the primary of the slot, and after a takeover to the new primary.  Start and attach
--- a/wisteriastair/core/gate.py
+++ b/wisteriastair/core/gate.py
@@ -151,9 +151,9 @@
         if call.gate != self._me:
             self._answer(sender, self._unknown_result(call.call))
             return
-        refusal = self._refusal_retry_s(call, now)
-        if refusal is not None:
-            self._refuse(sender, call.call, refusal, now)
+        retry_after_s = self._refusal_retry_s(call, now)
+        if retry_after_s is not None:
+            self._refuse(sender, call.call, retry_after_s, now)
             return
         self._calls[call.call] = _CallState(call, sender, now)
         self._queue.append(call.call)
@@ -223,7 +223,7 @@
         elif known.state is _State.RUNNING:
             self._out.add(BackendCancel(call, self.server))
 
-    def on_forget(self, call: CallId) -> None:
+    def on_discard(self, call: CallId) -> None:
         """Drop the content of a stored result; the id is still refused."""
         known = self._calls.get(call)
         if known is not None and known.result is not None:
@@ -339,9 +339,9 @@
 
     def _expire(self, call: CallId, now: float) -> None:
         known = self._calls[call]
-        age = now - known.state_since
+        age_s = now - known.state_since
         assert known.call is not None, "a queued or running call has its request"
-        if age <= known.call.timeout_s:
+        if age_s <= known.call.timeout_s:
             return
         if known.state is _State.QUEUED:
             self._queue.remove(call)
--- a/wisteriastair/core/peers.py
+++ b/wisteriastair/core/peers.py
@@ -23,7 +23,7 @@
 SUSPECT_AFTER_S: Final = 2.0
 UNRESPONSIVE_AFTER_S: Final = 4.0
 HEARTBEAT_REQUEST_INTERVAL_S: Final = 0.5
-PAUSE_DETECTION_S: Final = 1.0
+PAUSE_THRESHOLD_S: Final = 1.0
 MAX_COPY_CANDIDATES: Final = 12
 
 
@@ -123,7 +123,7 @@
         After a pause the last message of every peer is old.  Without the reset, all
         peers would be suspected and their slots moved, although none has failed.
         """
-        paused = self._last_tick > 0 and now - self._last_tick > PAUSE_DETECTION_S
+        paused = self._last_tick > 0 and now - self._last_tick > PAUSE_THRESHOLD_S
         self._last_tick = now
         if paused:
             for address, peer in self._known.items():
--- a/wisteriastair/core/side.py
+++ b/wisteriastair/core/side.py
@@ -247,7 +247,7 @@
             case GateCancel(call, _):
                 gate.on_cancel(call, now)
             case GateDiscard(call, _):
-                gate.on_forget(call)
+                gate.on_discard(call)
             case LeaseRenew(_, programs):
                 gate.renew(programs, now)
             case LeaseRelease(_, programs):
