--- a/tests/core/deployments.py
+++ b/tests/core/deployments.py
@@ -53,8 +53,8 @@
 def all_paired(deployment: VirtualDeployment) -> bool:
     """Whether every slot has a live primary and a live standby."""
     rows = rows_of(deployment)
-    living = {n.member for n in deployment.nodes.values() if n.alive and not n.drained}
-    paired = [r for r in rows.values() if r.carrier in living and r.standby in living]
+    live = {n.member for n in deployment.nodes.values() if n.alive and not n.drained}
+    paired = [r for r in rows.values() if r.carrier in live and r.standby in live]
     return len(paired) == deployment.cfg.slots
 
 
@@ -101,7 +101,7 @@
     texts: dict[int, str] = {}
     for event in deployment.events[request]:
         if isinstance(event, TextOut):
-            held = texts.get(event.number, "")
-            assert event.offset == len(held), "no gap and nothing twice"
-            texts[event.number] = held + event.text
+            received = texts.get(event.number, "")
+            assert event.offset == len(received), "no gap and nothing twice"
+            texts[event.number] = received + event.text
     return texts
--- a/tests/core/test_failures.py
+++ b/tests/core/test_failures.py
@@ -303,8 +303,8 @@
     run_until_ended(deployment, [request])
     again = deployment.ask(start("k"), 2)
     run_until_ended(deployment, [again])
-    for asked in (request, again):
-        last = deployment.last(asked)
+    for request_id in (request, again):
+        last = deployment.last(request_id)
         assert isinstance(last, Done)
         assert (last.outcome.status, last.outcome.ran) == ("outcome_unknown", "unknown")
     assert reservation_count(deployment) <= 1
--- a/wisteriastair/core/events.py
+++ b/wisteriastair/core/events.py
@@ -13,7 +13,7 @@
 
 
 class Tick(NamedTuple):
-    """Periodic event that makes the core check its timers."""
+    """A periodic event on which the core checks its timers."""
 
 
 class Received(NamedTuple):
--- a/wisteriastair/core/wire.py
+++ b/wisteriastair/core/wire.py
@@ -183,7 +183,7 @@
 
 
 class GateLookup(NamedTuple):
-    """A request for the state of a call; the gate makes an unknown id a tombstone."""
+    """A request for the state of a call; an unknown id gets a tombstone."""
 
     call: CallId
     slot: int
