--- a/tests/core/deployments.py
+++ b/tests/core/deployments.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from wisteriastair.core.config import PutServer, PutService, Server, Service, Tool
-from wisteriastair.core.entry import Ask, Done, TextOut
-from wisteriastair.core.replica import Row
+from wisteriastair.core.entry import Done, OutputText, RequestSpec
+from wisteriastair.core.replica import SlotRow
 from wisteriastair.core.side import SideCore
 from wisteriastair.standins.script import final_answer
 from wisteriastair.standins.virtual import VirtualDeployment
@@ -45,7 +45,7 @@
     return deployment
 
 
-def rows_of(deployment: VirtualDeployment) -> dict[int, Row]:
+def rows_of(deployment: VirtualDeployment) -> dict[int, SlotRow]:
     """Return the slot table of the first entry."""
     return deployment.entry().placement.rows
 
@@ -54,18 +54,18 @@
     """Whether every slot has a live primary and a live standby."""
     rows = rows_of(deployment)
     live = {n.member for n in deployment.nodes.values() if n.alive and not n.drained}
-    paired = [r for r in rows.values() if r.carrier in live and r.standby in live]
+    paired = [r for r in rows.values() if r.primary in live and r.standby in live]
     return len(paired) == deployment.cfg.slots
 
 
-def start(key: str, *, prompt: str = PROMPT, stream: bool = True) -> Ask:
+def start(key: str, *, prompt: str = PROMPT, stream: bool = True) -> RequestSpec:
     """Build the request for an appraisal."""
-    return Ask(
+    return RequestSpec(
         "start", "citizens", key=key, service="appraisal", prompt=prompt, stream=stream
     )
 
 
-def carrier_of(deployment: VirtualDeployment, program: str) -> str:
+def primary_of(deployment: VirtualDeployment, program: str) -> str:
     """Return the name of the process that is the primary of a program."""
     for name, node in deployment.nodes.items():
         core = node.core
@@ -100,7 +100,7 @@
     """Return the text that a caller received, by model call; check it for gaps."""
     texts: dict[int, str] = {}
     for event in deployment.events[request]:
-        if isinstance(event, TextOut):
+        if isinstance(event, OutputText):
             received = texts.get(event.number, "")
             assert event.offset == len(received), "no gap and nothing twice"
             texts[event.number] = received + event.text
--- a/tests/core/test_failures.py
+++ b/tests/core/test_failures.py
@@ -10,15 +10,15 @@
     all_ended,
     all_paired,
     answers,
-    carrier_of,
     office,
+    primary_of,
     rows_of,
     start,
     streamed,
 )
-from wisteriastair.core.carrier import ENDED_RETENTION_S
-from wisteriastair.core.entry import Ask, Done
+from wisteriastair.core.entry import Done, RequestSpec
 from wisteriastair.core.hashing import program_id
+from wisteriastair.core.primary import ENDED_RETENTION_S
 from wisteriastair.core.side import SideCore
 from wisteriastair.standins.script import final_answer
 from wisteriastair.standins.virtual import VirtualDeployment
@@ -56,7 +56,7 @@
     deployment = office()
     request = deployment.ask(start("k"))
     deployment.run(moment_s)
-    killed_process = carrier_of(deployment, program_id("citizens", "k"))
+    killed_process = primary_of(deployment, program_id("citizens", "k"))
     assert killed_process.startswith("side")
     deployment.kill(killed_process)
     run_until_ended(deployment, [request])
@@ -102,7 +102,7 @@
     deployment = office()
     requests = [deployment.ask(start(f"k{n}")) for n in range(6)]
     deployment.run(0.5)
-    killed_process = carrier_of(deployment, program_id("citizens", "k0"))
+    killed_process = primary_of(deployment, program_id("citizens", "k0"))
     deployment.freeze(killed_process)
     deployment.run(8.0)
     deployment.thaw(killed_process)
@@ -136,7 +136,7 @@
     first = deployment.ask(start("k"))
     deployment.run(0.4)
     deployment.kv.up = False
-    killed_process = carrier_of(deployment, program_id("citizens", "k"))
+    killed_process = primary_of(deployment, program_id("citizens", "k"))
     deployment.kill(killed_process)
     deployment.run(25.0)
     assert deployment.last(first) is not None, "the request was given up with an answer"
@@ -157,7 +157,7 @@
     request = deployment.ask(start("k"))
     deployment.run(0.4)
     deployment.kv.lose_answers = 3
-    killed_process = carrier_of(deployment, program_id("citizens", "k"))
+    killed_process = primary_of(deployment, program_id("citizens", "k"))
     deployment.kill(killed_process)
     run_until_ended(deployment, [request])
     assert answers(deployment, [request]) == [ANSWER]
@@ -175,10 +175,10 @@
     request = deployment.ask(start("k"))
     deployment.run(0.4)
     program = program_id("citizens", "k")
-    carrier = carrier_of(deployment, program)
+    primary = primary_of(deployment, program)
     rows = rows_of(deployment)
     row = next(r for r in rows.values() if r.slot == _slot(deployment, program))
-    deployment.cut(carrier, row.standby.split(":")[0])
+    deployment.cut(primary, row.standby.split(":")[0])
     run_until_ended(deployment, [request])
     assert answers(deployment, [request]) == [ANSWER]
     assert reservation_count(deployment) == 1
@@ -276,7 +276,7 @@
         if isinstance(node.core, SideCore):
             assert program not in node.core.programs.by_name
             assert not node.core.slots.has_entries(program)
-    late = deployment.ask(Ask("attach", "citizens", program=program))
+    late = deployment.ask(RequestSpec("attach", "citizens", program=program))
     run_until_ended(deployment, [late])
     last = deployment.last(late)
     assert isinstance(last, Done)
@@ -298,7 +298,7 @@
     deployment.run(0.6)
     program = program_id("citizens", "k")
     row = rows_of(deployment)[_slot(deployment, program)]
-    for member in (row.carrier, row.standby):
+    for member in (row.primary, row.standby):
         deployment.kill(member.split(":")[0])
     run_until_ended(deployment, [request])
     again = deployment.ask(start("k"), 2)
--- a/tests/core/test_replica_model.py
+++ b/tests/core/test_replica_model.py
@@ -16,7 +16,7 @@
 from minicheck import Protocol, check_safety
 
 from wisteriastair.core import replica as rp
-from wisteriastair.core.replica import Replica, Role, Row
+from wisteriastair.core.replica import Replica, Role, SlotRow
 
 MEMBERS = ("a", "b", "c")
 # Larger bounds than the default take minutes; docs/guarantees.md names those explored.
@@ -37,8 +37,8 @@
     """State of the whole system."""
 
     nodes: tuple[Node | None, ...]
-    row: Row
-    swaps: frozenset[tuple[Row, int]]
+    row: SlotRow
+    swaps: frozenset[tuple[SlotRow, int]]
     messages: frozenset[tuple[Any, ...]]
     released: tuple[int, ...]
     written: int
@@ -50,14 +50,14 @@
 
     advance: Callable[..., Replica] = rp.receive_ack
     receive: Callable[..., tuple[Replica, int]] = rp.receive_entries
-    takeover: Callable[[Replica], Row | None] = rp.takeover_row
-    observe: Callable[[Replica, Row], Replica] = rp.observe_row
+    takeover: Callable[[Replica], SlotRow | None] = rp.takeover_row
+    observe: Callable[[Replica, SlotRow], Replica] = rp.observe_row
     propose_learner: Callable[[Replica], Replica] = rp.propose_learner
     old_epochs_matter: bool = False
 
 
 def initial_world() -> World:
-    row = Row(0, "a", "b", 1, fresh=True)
+    row = SlotRow(0, "a", "b", 1, fresh=True)
     nodes = tuple(Node(rp.observe_row(Replica(me=m, slot=0), row), ()) for m in MEMBERS)
     return World(nodes, row, frozenset(), frozenset(), (), 0, 0)
 
@@ -71,7 +71,7 @@
 def release(world: World, node: Node) -> World:
     """Record the entries whose effects a primary releases; they must survive."""
     done = node.log[: node.replica.committed]
-    if node.replica.role is Role.CARRIER and len(done) > len(world.released):
+    if node.replica.role is Role.PRIMARY and len(done) > len(world.released):
         return world._replace(released=done)
     return world
 
@@ -105,7 +105,7 @@
         log = () if seen.role is Role.NONE else node.log[: seen.last]
         after = replace_node(world, index, Node(seen, log))
         steps.append((f"{replica.me} observes row", release(after, Node(seen, log))))
-    if replica.role is not Role.CARRIER:
+    if replica.role is not Role.PRIMARY:
         return steps
     if rp.may_append(replica) and world.written < MAX_ENTRIES:
         entry = world.written + 1
@@ -230,7 +230,7 @@
     world = World(**fields)
     released = world.released
     for node in world.nodes:
-        if node is None or node.replica.role is not Role.CARRIER:
+        if node is None or node.replica.role is not Role.PRIMARY:
             continue
         current = node.replica.epoch == world.row.epoch
         if current and node.log[: len(released)] != released:
@@ -241,7 +241,7 @@
 def log_is_recoverable(fields: dict[str, Any]) -> bool:
     """Check that a live member named by the table has all released entries."""
     world = World(**fields)
-    named = (world.row.carrier, world.row.standby, world.row.former)
+    named = (world.row.primary, world.row.standby, world.row.former)
     logs = [n.log for n in world.nodes if n is not None and n.replica.me in named]
     done = len(world.released)
     return any(log[:done] == world.released for log in logs)
@@ -251,7 +251,7 @@
     """Check that no primaries commit different entries at the same position."""
     world = World(**fields)
     for node in world.nodes:
-        if node is None or node.replica.role is not Role.CARRIER:
+        if node is None or node.replica.role is not Role.PRIMARY:
             continue
         done = node.log[: node.replica.committed]
         if done != world.released[: len(done)]:
@@ -263,10 +263,10 @@
     """Check that the primary named by the table has the log if it has seen the row."""
     world = World(**fields)
     for node in world.nodes:
-        if node is None or node.replica.me != world.row.carrier:
+        if node is None or node.replica.me != world.row.primary:
             continue
         knows = node.replica.epoch == world.row.epoch
-        if knows and node.replica.role is not Role.CARRIER:
+        if knows and node.replica.role is not Role.PRIMARY:
             return False
     return True
 
@@ -316,22 +316,22 @@
 
 def commit_without_standby(replica: Replica, **ack: Any) -> Replica:
     changed = rp.receive_ack(replica, **ack)
-    if changed.role is Role.CARRIER:
+    if changed.role is Role.PRIMARY:
         return changed._replace(committed=changed.last)
     return changed
 
 
 def acknowledge_any_epoch(replica: Replica, **entries: Any) -> tuple[Replica, int]:
-    if replica.role is Role.CARRIER and entries["epoch"] < replica.epoch:
+    if replica.role is Role.PRIMARY and entries["epoch"] < replica.epoch:
         return replica, 0
     return rp.receive_entries(replica, **entries)
 
 
-def drop_former_copy(replica: Replica, row: Row) -> Replica:
-    return rp.observe_row(replica, row._replace(former=rp.NOBODY))
+def drop_former_copy(replica: Replica, row: SlotRow) -> Replica:
+    return rp.observe_row(replica, row._replace(former=rp.NO_MEMBER))
 
 
-def take_over_as_learner(replica: Replica) -> Row | None:
+def take_over_as_learner(replica: Replica) -> SlotRow | None:
     if replica.role is Role.LEARNER:
         return rp.takeover_row(replica._replace(role=Role.STANDBY))
     return rp.takeover_row(replica)
--- a/wisteriastair/core/calls.py
+++ b/wisteriastair/core/calls.py
@@ -10,13 +10,13 @@
 
 from typing import Final
 
-from .dispatch import Dispatcher, Place
+from .dispatch import CallTarget, Dispatcher
 from .hashing import address_of
 from .outbox import Outbox
 from .peers import Peers
 from .program import SPAWN, ModelStep, ToolStep
 from .records import CallEnded, CallIntended, TextAppended
-from .running import Running, RunningPrograms
+from .running import RunningProgram, RunningPrograms
 from .wire import (
     CallId,
     CallPending,
@@ -66,33 +66,37 @@
         self._peers = peers
         self._out = out
 
-    def append_model_intent(self, run: Running, step: ModelStep) -> None:
+    def append_model_intent(self, run: RunningProgram, step: ModelStep) -> None:
         """Append the intent of a model call, or wait if no server is available."""
         program = run.program
         service = self._programs.service(run)
-        place = self._dispatcher.place_model(
-            program, service, self._programs.config, run.avoid, self._programs.now
+        place = self._dispatcher.choose_model_server(
+            program,
+            service,
+            self._programs.config,
+            run.avoid_server,
+            self._programs.now,
         )
         if place is None:
             run.not_before = self._programs.now + NO_SERVER_RETRY_S
             return
-        reserved = step.prompt_bound + step.max_tokens
+        reserved = step.prompt_token_bound + step.max_tokens
         self._append_intent(run, step, "model", place, "", True, reserved)
 
-    def append_tool_intent(self, run: Running, step: ToolStep) -> None:
+    def append_tool_intent(self, run: RunningProgram, step: ToolStep) -> None:
         """Append the intent of a tool call, or wait if no server is available."""
         tools = {tool.name: tool for tool in self._programs.service(run).tools}
         tool = tools.get(step.action.name)
         argument = step.action.argument
         if tool is None or step.action.name == SPAWN:
-            place = Place("", "", step.action.name)
+            place = CallTarget("", "", step.action.name)
             self._append_intent(run, step, "tool", place, argument, True, 0)
             return
-        found = self._dispatcher.place_tool(
+        found = self._dispatcher.choose_tool_server(
             run.program,
             tool.provider,
             self._programs.config,
-            run.avoid,
+            run.avoid_server,
             self._programs.now,
         )
         if found is None:
@@ -103,10 +107,10 @@
 
     def _append_intent(
         self,
-        run: Running,
+        run: RunningProgram,
         step: ModelStep | ToolStep,
         kind: str,
-        place: Place,
+        place: CallTarget,
         body: str,
         repeatable: bool,
         reserved: int,
@@ -126,7 +130,7 @@
         )
         self._programs.append(run, record)
 
-    def dispatch(self, run: Running, intent: CallIntended) -> None:
+    def dispatch(self, run: RunningProgram, intent: CallIntended) -> None:
         """Send a call whose intent is committed to its gate."""
         run.looked_up_at = run.last_heard_at = self._programs.now
         if not intent.server:
@@ -136,7 +140,7 @@
         start = program.start
         is_model = intent.kind == "model"
         body = program.model_body(program.partial_text) if is_model else intent.body
-        bound = program.prompt_bound() if is_model else 0
+        bound = program.prompt_token_bound() if is_model else 0
         limits = start.limits
         call = GateCall(
             CallId(start.program, intent.number, intent.attempt),
@@ -159,13 +163,13 @@
         )
         self._out.send(intent.gate, call)
 
-    def _remaining_s(self, run: Running) -> float:
+    def _remaining_s(self, run: RunningProgram) -> float:
         start = run.program.start
         return max(0.0, start.started_at + start.limits.wall_s - self._programs.now)
 
     # Messages from gates
 
-    def _find_open_call(self, call: CallId) -> Running | None:
+    def _find_open_call(self, call: CallId) -> RunningProgram | None:
         """Return the program whose open call this is; None if the message is late.
 
         Also records the time of the message.
@@ -209,17 +213,17 @@
         run = self._find_open_call(result.call)
         if run is None or not self._programs.may_append(run):
             return
-        self._dispatcher.learn(run.program, result, self._programs.now)
+        self._dispatcher.record_result(run.program, result, self._programs.now)
         if result.status != "ok":
-            run.avoid = result.server
+            run.avoid_server = result.server
             requested_s = min(result.retry_after_s, MAX_RETRY_WAIT_S)
             wait_s = max(requested_s, _retry_wait_s(result.call.attempt))
             run.not_before = self._programs.now + wait_s
         else:
-            run.avoid = ""
+            run.avoid_server = ""
         self._append_end(run, result)
 
-    def _append_end(self, run: Running, result: CallResult) -> None:
+    def _append_end(self, run: RunningProgram, result: CallResult) -> None:
         skip = run.text_length - run.program.call_text_offset
         text = result.text[skip:] if result.status == "ok" else ""
         record = CallEnded(
@@ -250,11 +254,11 @@
 
     def release_cache(self, server: str, program: str) -> None:
         """Release the cache that a server has for a program."""
-        instance = self._peers.gate_of(server)
+        instance = self._peers.gate_instance_of(server)
         if instance is not None:
             self._out.send(instance.address, LeaseRelease(server, (program,)))
 
-    def check_progress(self, run: Running, call: CallIntended) -> None:
+    def check_progress(self, run: RunningProgram, call: CallIntended) -> None:
         """Look up a call without recent messages, or give it up."""
         if not call.server:
             return
@@ -263,7 +267,9 @@
         # A call that must not be repeated is looked up for its whole time limit:
         # giving it up earlier would make its outcome unknown without need.
         timeout_s = GATE_TIMEOUT_S if call.repeatable else max(GATE_TIMEOUT_S, limit_s)
-        gate_down = self._peers.is_gone(call.gate) and silent_s > LOOKUP_INTERVAL_S
+        gate_down = (
+            self._peers.is_confirmed_down(call.gate) and silent_s > LOOKUP_INTERVAL_S
+        )
         overdue = (
             call.kind == "tool"
             and self._programs.now - call.intended_at > limit_s + 1.0
@@ -274,17 +280,17 @@
         elif self._programs.now - run.looked_up_at > LOOKUP_INTERVAL_S:
             self.look_up(run, call)
 
-    def _append_lost(self, run: Running, call: CallIntended) -> None:
+    def _append_lost(self, run: RunningProgram, call: CallIntended) -> None:
         if self._programs.may_append(run):
-            run.avoid = call.server
+            run.avoid_server = call.server
             run.not_before = self._programs.now + _retry_wait_s(call.attempt)
             self._append_end(run, _lost_result(call))
 
-    def _look_up_open_call(self, run: Running) -> None:
+    def _look_up_open_call(self, run: RunningProgram) -> None:
         if run.program.call is not None:
             self.look_up(run, run.program.call)
 
-    def look_up(self, run: Running, call: CallIntended) -> None:
+    def look_up(self, run: RunningProgram, call: CallIntended) -> None:
         """Ask the gate, whichever incarnation it now has, for the state of a call."""
         run.looked_up_at = self._programs.now
         if not call.server:
@@ -307,7 +313,7 @@
             for server in self._programs.by_name[name].program.servers:
                 by_server.setdefault(server, []).append(name)
         for server, names in sorted(by_server.items()):
-            instance = self._peers.gate_of(server)
+            instance = self._peers.gate_instance_of(server)
             if instance is not None:
                 self._out.send(instance.address, LeaseRenew(server, tuple(names)))
 
--- a/wisteriastair/core/entry.py
+++ b/wisteriastair/core/entry.py
@@ -26,7 +26,7 @@
     Heartbeat,
     ListPrograms,
     Message,
-    NotCarrier,
+    NotPrimary,
     ProgramAttach,
     ProgramCancel,
     ProgramList,
@@ -54,7 +54,7 @@
     patience_s: float = DEFAULT_PATIENCE_S
 
 
-class Ask(NamedTuple):
+class RequestSpec(NamedTuple):
     """The content of a request of a caller.
 
     Attributes
@@ -82,7 +82,7 @@
     trace: str = ""
 
 
-class TextOut(NamedTuple):
+class OutputText(NamedTuple):
     """Output for the caller."""
 
     number: int
@@ -109,7 +109,7 @@
     failure: Failure
 
 
-class Rows(NamedTuple):
+class ProgramRows(NamedTuple):
     """The operators' listing of programs; the last event of a request.
 
     ``missing`` counts primaries that did not answer in time.
@@ -119,10 +119,10 @@
     missing: int
 
 
-CallerEvent = TextOut | Accepted | Done | Refused | Rows
+CallerEvent = OutputText | Accepted | Done | Refused | ProgramRows
 
 
-class ToCaller(NamedTuple):
+class DeliverToCaller(NamedTuple):
     """Deliver an event to the caller of a request."""
 
     request: str
@@ -132,7 +132,7 @@
 class _Request:
     """State of a pending request of a caller."""
 
-    def __init__(self, spec: Ask, program: str, slot: int, now: float) -> None:
+    def __init__(self, spec: RequestSpec, program: str, slot: int, now: float) -> None:
         self.spec = spec
         self.program = program
         self.slot = slot
@@ -142,7 +142,7 @@
         self.sent = False
         self.last_heard_at = now
         self.repeat_at = now
-        self.carrier = ""
+        self.primary = ""
 
 
 class _Listing:
@@ -174,31 +174,33 @@
 
     # Callers
 
-    def ask(self, request: str, spec: Ask, now: float) -> list[Effect | ToCaller]:
+    def submit(
+        self, request: str, spec: RequestSpec, now: float
+    ) -> list[Effect | DeliverToCaller]:
         """Accept a request of a caller and send it to the primary."""
         program = spec.program or program_id(spec.customer, spec.key)
         slot = slot_of(program, self._cfg.slots)
         self._requests[request] = _Request(spec, program, slot, now)
         return self._send_request(request, now)
 
-    def leave(self, request: str) -> None:
+    def drop_request(self, request: str) -> None:
         """Drop a request whose caller has disconnected; its program continues."""
         self._requests.pop(request, None)
 
     def list_programs(
         self, request: str, customer: str, limit: int, now: float
-    ) -> list[Effect | ToCaller]:
+    ) -> list[Effect | DeliverToCaller]:
         """Request the programs of all primaries."""
         sides = sorted(
-            {address_of(row.carrier) for row in self.placement.rows.values()}
+            {address_of(row.primary) for row in self.placement.rows.values()}
         )
         if not sides:
-            return [ToCaller(request, Rows((), 0))]
+            return [DeliverToCaller(request, ProgramRows((), 0))]
         self._listings[request] = _Listing(len(sides), now + LISTING_TIMEOUT_S)
         query = ListPrograms(request, customer, limit)
         return [Send(side, query) for side in sides]
 
-    def _send_request(self, request: str, now: float) -> list[Effect | ToCaller]:
+    def _send_request(self, request: str, now: float) -> list[Effect | DeliverToCaller]:
         """Send a request to the primary of its slot, if the slot is placed."""
         state = self._requests[request]
         state.repeat_at = now + (
@@ -207,9 +209,9 @@
         row = self.placement.rows.get(state.slot)
         if row is None:
             return []
-        state.carrier = row.carrier
+        state.primary = row.primary
         state.sent = True
-        return [Send(row.carrier, self._message(request, state))]
+        return [Send(row.primary, self._message(request, state))]
 
     def _message(self, request: str, state: _Request) -> Message:
         spec = state.spec
@@ -243,7 +245,7 @@
 
     def receive(
         self, sender: str, message: Message, now: float
-    ) -> list[Effect | ToCaller]:
+    ) -> list[Effect | DeliverToCaller]:
         """Handle a message from another process."""
         match message:
             case ProgramText():
@@ -252,14 +254,14 @@
                 return self._on_pending(request, program, now)
             case ProgramOutcome():
                 return self._on_outcome(message)
-            case NotCarrier(request, _):
+            case NotPrimary(request, _):
                 return self._on_not_primary(sender, request, now)
             case ProgramList(request, rows):
                 return self._on_rows(request, rows)
             case DocPush(key, revision, value):
                 return self.accept_doc(key, revision, value)
             case DocPull():
-                effects: list[Effect | ToCaller] = []
+                effects: list[Effect | DeliverToCaller] = []
                 effects += self.docs.on_pull(sender, message)
                 effects += self.docs.pull_if_older(sender, message.revisions)
                 return effects
@@ -271,7 +273,9 @@
             case _:
                 return []
 
-    def _on_text(self, message: ProgramText, now: float) -> list[Effect | ToCaller]:
+    def _on_text(
+        self, message: ProgramText, now: float
+    ) -> list[Effect | DeliverToCaller]:
         """Deliver output that the caller does not have yet; drop late output."""
         state = self._requests.get(message.request)
         if state is None or state.program != message.program:
@@ -288,11 +292,15 @@
             return []
         state.number = message.number
         state.offset = received_chars + len(new)
-        return [ToCaller(message.request, TextOut(message.number, received_chars, new))]
+        return [
+            DeliverToCaller(
+                message.request, OutputText(message.number, received_chars, new)
+            )
+        ]
 
     def _on_pending(
         self, request: str, program: str, now: float
-    ) -> list[Effect | ToCaller]:
+    ) -> list[Effect | DeliverToCaller]:
         state = self._requests.get(request)
         if state is None:
             return []
@@ -300,18 +308,18 @@
         if state.accepted:
             return []
         state.accepted = True
-        return [ToCaller(request, Accepted(program))]
+        return [DeliverToCaller(request, Accepted(program))]
 
-    def _on_outcome(self, outcome: ProgramOutcome) -> list[Effect | ToCaller]:
+    def _on_outcome(self, outcome: ProgramOutcome) -> list[Effect | DeliverToCaller]:
         state = self._requests.get(outcome.request)
         if state is None or state.program != outcome.program:
             return []
         del self._requests[outcome.request]
-        return [ToCaller(outcome.request, Done(outcome))]
+        return [DeliverToCaller(outcome.request, Done(outcome))]
 
     def _on_not_primary(
         self, sender: str, request: str, now: float
-    ) -> list[Effect | ToCaller]:
+    ) -> list[Effect | DeliverToCaller]:
         """Pull the slot table from the sender and repeat the request soon."""
         state = self._requests.get(request)
         if state is not None:
@@ -320,7 +328,7 @@
 
     def _on_rows(
         self, request: str, rows: tuple[ProgramRow, ...]
-    ) -> list[Effect | ToCaller]:
+    ) -> list[Effect | DeliverToCaller]:
         listing = self._listings.get(request)
         if listing is None:
             return []
@@ -328,10 +336,10 @@
         listing.pending_replies -= 1
         return self._end_listing(request) if listing.pending_replies == 0 else []
 
-    def _end_listing(self, request: str) -> list[Effect | ToCaller]:
+    def _end_listing(self, request: str) -> list[Effect | DeliverToCaller]:
         listing = self._listings.pop(request)
         rows = tuple(sorted(listing.rows))
-        return [ToCaller(request, Rows(rows, listing.pending_replies))]
+        return [DeliverToCaller(request, ProgramRows(rows, listing.pending_replies))]
 
     # Documents
 
@@ -340,22 +348,22 @@
         self.instances = instances
         return self.docs.set_instances(instances)
 
-    def on_kv(self, event: KvValue | KvWritten) -> list[Effect | ToCaller]:
+    def on_kv(self, event: KvValue | KvWritten) -> list[Effect | DeliverToCaller]:
         """Store a document that this entry read or wrote itself."""
         return self.accept_doc(event.key, event.revision, event.value)
 
     def accept_doc(
         self, key: str, revision: int, value: bytes
-    ) -> list[Effect | ToCaller]:
+    ) -> list[Effect | DeliverToCaller]:
         """Store and push a document if it is newer than the stored one."""
         if not self.docs.store_if_newer(key, revision, value):
             return []
-        effects: list[Effect | ToCaller] = [*self.docs.push(key)]
+        effects: list[Effect | DeliverToCaller] = [*self.docs.push(key)]
         if key == CONFIG_KEY:
             self.config = decode_config(value)
             self.revision = revision
         elif key.startswith(SEGMENT_PREFIX):
-            moved = {row.slot for row in self.placement.take(value)}
+            moved = {row.slot for row in self.placement.apply_segment(value)}
             for state in self._requests.values():
                 if state.slot in moved:
                     state.repeat_at = 0.0
@@ -363,9 +371,9 @@
 
     # Time
 
-    def tick(self, now: float) -> list[Effect | ToCaller]:
+    def tick(self, now: float) -> list[Effect | DeliverToCaller]:
         """Repeat pending requests and give up those that have timed out."""
-        effects: list[Effect | ToCaller] = [*self.docs.tick(now)]
+        effects: list[Effect | DeliverToCaller] = [*self.docs.tick(now)]
         for request in list(self._requests):
             state = self._requests[request]
             if now - state.last_heard_at > self._cfg.patience_s:
@@ -377,12 +385,12 @@
                 effects += self._end_listing(request)
         return effects
 
-    def _give_up(self, request: str) -> ToCaller:
+    def _give_up(self, request: str) -> DeliverToCaller:
         state = self._requests.pop(request)
         if not state.sent:
             detail = "this slot has no known primary"
-            failure = Failure(Code.NO_CARRIER, detail, "no", RETRY_AFTER_S)
+            failure = Failure(Code.NO_PRIMARY, detail, "no", RETRY_AFTER_S)
         else:
             detail = "no answer from the primary; retry with the same key"
             failure = Failure(Code.TIMED_OUT, detail, "unknown", RETRY_AFTER_S)
-        return ToCaller(request, Refused(state.program, failure))
+        return DeliverToCaller(request, Refused(state.program, failure))
--- a/wisteriastair/core/peers.py
+++ b/wisteriastair/core/peers.py
@@ -15,7 +15,7 @@
 
 from .docs import Docs
 from .events import Instance
-from .hashing import address_of, hash_word, rank
+from .hashing import address_of, hash64, rendezvous_order
 from .outbox import Outbox
 from .wire import Heartbeat
 
@@ -140,12 +140,12 @@
         since = max(heard, self._watched_since.get(member, now))
         return now - since > SUSPECT_AFTER_S
 
-    def silent(self, member: str, now: float) -> bool:
+    def is_unresponsive(self, member: str, now: float) -> bool:
         """Whether a member is unknown or has sent no message for some seconds."""
         peer = self._known.get(address_of(member))
         return peer is None or now - peer.last_heard_at > UNRESPONSIVE_AFTER_S
 
-    def is_gone(self, member: str) -> bool:
+    def is_confirmed_down(self, member: str) -> bool:
         """Whether a member was replaced at its address or is no longer listed.
 
         Missing messages alone are no proof that a member is down.
@@ -162,40 +162,38 @@
         peer = self._known.get(address_of(member))
         return peer is not None and peer.member == member and peer.draining
 
-    def sample(self, now: float) -> str:
+    def sample_peer(self, now: float) -> str:
         """Return the last sampled side process if it answered; sample another.
 
         The order differs between processes, so that they sample different peers.
         """
         member = ""
         peer = self._known.get(self._sampled_address)
-        if peer is not None and not self.silent(peer.member, now):
+        if peer is not None and not self.is_unresponsive(peer.member, now):
             member = peer.member
         addresses = [
             i.address for i in self.sides() if i.address != self._sampled_address
         ]
         if addresses:
             self._sample_count += 1
-            index = hash_word(self._me, "sample", str(self._sample_count)) % len(
-                addresses
-            )
+            index = hash64(self._me, "sample", str(self._sample_count)) % len(addresses)
             self._sampled_address = addresses[index]
             self.request_heartbeat(self._sampled_address, now)
         return member
 
-    def held_of(self, member: str) -> int | None:
+    def replica_count_of(self, member: str) -> int | None:
         """Return how many slots a member has; None if it cannot receive a copy."""
         peer = self._known.get(address_of(member))
         if peer is None or peer.member != member or peer.draining or not peer.domain:
             return None
         return peer.replica_count
 
-    def is_elsewhere(self, member: str) -> bool:
+    def is_in_other_domain(self, member: str) -> bool:
         """Whether a member is in another failure domain than this process."""
         peer = self._known.get(address_of(member))
         return peer is not None and peer.domain not in ("", self._domain)
 
-    def leads_of(self, member: str) -> int | None:
+    def primary_count_of(self, member: str) -> int | None:
         """Return of how many slots a member is primary; None if it can get no more."""
         peer = self._known.get(address_of(member))
         if peer is None or peer.member != member or peer.draining or not peer.domain:
@@ -225,7 +223,7 @@
         """Instances that can have slots: side processes that are not leaving."""
         return [i for i in self.instances if i.role == "side" and not i.leaving]
 
-    def gate_of(self, server: str) -> Instance | None:
+    def gate_instance_of(self, server: str) -> Instance | None:
         """Return the instance whose side process is the gate of a server."""
         for instance in self.instances:
             if server in instance.servers:
@@ -242,7 +240,7 @@
         considered.
         """
         sides = {i.address: i for i in self.sides() if i.domain != self._domain}
-        candidates = rank(f"copy {label}", sides)[:MAX_COPY_CANDIDATES]
+        candidates = rendezvous_order(f"copy {label}", sides)[:MAX_COPY_CANDIDATES]
         best = self._best_copy_target(candidates, exclude, now)
         if best:
             return best
--- a/wisteriastair/core/running.py
+++ b/wisteriastair/core/running.py
@@ -1,7 +1,7 @@
 """State of programs on their primary that is not part of the committed log.
 
 This state is lost with the primary: after a takeover, the new primary creates a new
-`Running` for each program and asks the gates.
+`RunningProgram` for each program and asks the gates.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
         self.expires_at = 0.0
 
 
-class Running:
+class RunningProgram:
     """A program on its primary.
 
     Attributes
@@ -48,7 +48,7 @@
         Times of the last look-up of the open call and of the last message about it.
     not_before : float
         Earliest time of the next attempt.
-    avoid : str
+    avoid_server : str
         Server that refused or lost the last attempt.
     trace : str
         Parent span of the calls of this program.
@@ -63,7 +63,7 @@
         self.looked_up_at = 0.0
         self.last_heard_at = 0.0
         self.not_before = 0.0
-        self.avoid = ""
+        self.avoid_server = ""
         self.trace = ""
         self.subscribers: dict[str, Subscriber] = {}
 
@@ -107,7 +107,7 @@
             subscriber.number = number
             subscriber.offset = offset + len(new)
 
-    def pending(self, request: str) -> ProgramPending:
+    def pending_message(self, request: str) -> ProgramPending:
         """Build the message that a program is running."""
         return ProgramPending(request, self.program.start.program)
 
@@ -139,7 +139,7 @@
         The configuration in force.
     now : float
         Time of the current step in seconds.
-    by_name : dict of str to Running
+    by_name : dict of str to RunningProgram
         All programs, both live ones and those retained for late callers.
     live : dict of str to None
         Names of the programs that have not ended, in order of their start.
@@ -148,7 +148,7 @@
     def __init__(self) -> None:
         self.config: Config = EMPTY_CONFIG
         self.now = 0.0
-        self.by_name: dict[str, Running] = {}
+        self.by_name: dict[str, RunningProgram] = {}
         self.live: dict[str, None] = {}
         self._slots: Slots
 
@@ -161,29 +161,29 @@
         """Set the slots, which depend on this object themselves."""
         self._slots = slots
 
-    def may_append(self, run: Running) -> bool:
+    def may_append(self, run: RunningProgram) -> bool:
         """Whether records can be added to a program's slot now."""
         return self._slots.may_append(run.slot)
 
-    def epoch(self, run: Running) -> int:
+    def epoch(self, run: RunningProgram) -> int:
         """Epoch of the slot of a program."""
         return self._slots.epoch(run.slot)
 
     def append(
-        self, run: Running, record: Record, *, new_program: bool = False
+        self, run: RunningProgram, record: Record, *, new_program: bool = False
     ) -> None:
         """Add a record; it takes effect when it is committed."""
         if not new_program:
             run.uncommitted += 1
         self._slots.append(run.slot, record.program, record)
 
-    def drop(self, run: Running) -> None:
+    def drop(self, run: RunningProgram) -> None:
         """Drop a program from the log and from this process."""
         name = run.program.start.program
         self._slots.append(run.slot, name, None)
         del self.by_name[name]
 
-    def service(self, run: Running) -> Service:
+    def service(self, run: RunningProgram) -> Service:
         """Return the service of a program as configured, or as at its start."""
         definition = run.program.start.definition
         return self.config.services.get(definition.name, definition)
--- a/wisteriastair/core/slots.py
+++ b/wisteriastair/core/slots.py
@@ -19,7 +19,7 @@
 from .peers import Peers
 from .placement import Placement
 from .records import Record, encode_record
-from .replica import NOBODY, Replica, Role, Row
+from .replica import NO_MEMBER, Replica, Role, SlotRow
 from .slotlog import SlotLog
 from .slotstate import SlotState
 from .wire import Acknowledge, Append, CopyEnd, Entry, ProgramCopy
@@ -73,7 +73,7 @@
         self._dirty: set[int] = set()
         self._now = 0.0
 
-    def carried(self) -> list[int]:
+    def open_slots(self) -> list[int]:
         """Slots whose programs run in this process now."""
         return [n for n, slot in self._slots.items() if slot.is_open]
 
@@ -118,7 +118,7 @@
         for slot in self._slots.values():
             replica = slot.replica
             found |= {replica.peer, replica.learner, replica.former}
-        return found - {NOBODY, self._me}
+        return found - {NO_MEMBER, self._me}
 
     def count(self) -> int:
         """Return the number of slots of which this process has a replica."""
@@ -127,11 +127,11 @@
 
     # Rows of the table
 
-    def observe(self, row: Row) -> None:
+    def observe(self, row: SlotRow) -> None:
         """Apply a confirmed row."""
         slot = self._slots.get(row.slot)
         if slot is None:
-            if self._me not in (row.carrier, row.standby, row.former):
+            if self._me not in (row.primary, row.standby, row.former):
                 return
             slot = self._slots[row.slot] = SlotState(self._me, row.slot)
         before = slot.replica
@@ -142,7 +142,7 @@
         slot.row_changed_at = self._now
         if row.fresh:
             slot.log = SlotLog()
-        if after.role is not Role.CARRIER:
+        if after.role is not Role.PRIMARY:
             self._close(slot)
         if after.role is Role.NONE:
             del self._slots[row.slot]
@@ -187,7 +187,7 @@
     def on_acknowledge(self, sender: str, ack: Acknowledge, now: float) -> None:
         """Process the acknowledgement of a standby or learner."""
         slot = self._slots.get(ack.slot)
-        if slot is None or slot.replica.role is not Role.CARRIER:
+        if slot is None or slot.replica.role is not Role.PRIMARY:
             return
         before = slot.replica
         slot.replica = rp.receive_ack(
@@ -207,7 +207,7 @@
     def _advance(self, slot: SlotState) -> None:
         """Pass newly committed records to the listener."""
         replica = slot.replica
-        if replica.role is not Role.CARRIER or replica.peer == NOBODY:
+        if replica.role is not Role.PRIMARY or replica.peer == NO_MEMBER:
             return
         if not slot.is_open and replica.committed >= replica.last:
             slot.is_open = True
@@ -220,14 +220,14 @@
             _, record = slot.uncommitted_records.popleft()
             self._listener.on_committed(replica.slot, record)
         low = replica.standby_acked
-        if replica.learner != NOBODY:
+        if replica.learner != NO_MEMBER:
             low = min(low, max(replica.learner_acked, slot.learner_sent))
         slot.log.trim_tail(low)
 
     def _propose_ready_learner(self, slot: SlotState) -> None:
         replica = slot.replica
-        alone = replica.peer == NOBODY
-        if replica.learner == NOBODY or replica.learner_acked < 0:
+        alone = replica.peer == NO_MEMBER
+        if replica.learner == NO_MEMBER or replica.learner_acked < 0:
             return
         if alone and replica.learner_acked < replica.last:
             return
@@ -242,17 +242,17 @@
         """Send the entries appended in this step, in one message per slot."""
         for number in sorted(self._dirty):
             slot = self._slots.get(number)
-            if slot is not None and slot.replica.role is Role.CARRIER:
+            if slot is not None and slot.replica.role is Role.PRIMARY:
                 self._send_entries(slot, now)
         self._dirty.clear()
 
     def _send_entries(self, slot: SlotState, now: float) -> None:
         replica = slot.replica
-        if replica.peer != NOBODY:
+        if replica.peer != NO_MEMBER:
             slot.standby_sent = self._send_after(
                 slot, replica.peer, 0, slot.standby_sent
             )
-        if replica.learner != NOBODY and slot.learner_sent >= 0:
+        if replica.learner != NO_MEMBER and slot.learner_sent >= 0:
             session = replica.session
             slot.learner_sent = self._send_after(
                 slot, replica.learner, session, slot.learner_sent
@@ -282,12 +282,12 @@
     def tick(self, now: float) -> None:
         """Check peers, repair and hand over slots, resend unacknowledged entries."""
         self._now = now
-        copying = sum(1 for s in self._slots.values() if s.replica.learner != NOBODY)
+        copying = sum(1 for s in self._slots.values() if s.replica.learner != NO_MEMBER)
         for slot in list(self._slots.values()):
             replica = slot.replica
             if replica.role in (Role.STANDBY, Role.FORMER, Role.LEARNER):
                 self._watch_primary(slot, now)
-            elif replica.role is Role.CARRIER:
+            elif replica.role is Role.PRIMARY:
                 copying += self._maintain_standby(slot, copying, now)
         self.flush(now)
 
@@ -309,20 +309,22 @@
 
     def _maintain_standby(self, slot: SlotState, copying: int, now: float) -> int:
         replica = slot.replica
-        if replica.peer != NOBODY and self._needs_new_standby(slot, now):
+        if replica.peer != NO_MEMBER and self._needs_new_standby(slot, now):
             self._propose(slot, rp.propose_alone(replica))
         if now >= slot.resend_at:
             slot.standby_sent = replica.standby_acked
             if slot.learner_sent >= 0:
                 slot.learner_sent = replica.learner_acked
-            behind = replica.standby_acked < replica.last or replica.learner != NOBODY
+            behind = (
+                replica.standby_acked < replica.last or replica.learner != NO_MEMBER
+            )
             if behind:
                 self._dirty.add(replica.slot)
-        if replica.learner != NOBODY:
+        if replica.learner != NO_MEMBER:
             self._watch_learner(slot, now)
             return 0
         peer_leaves = self._peers.is_draining(replica.peer)
-        if replica.peer == NOBODY or peer_leaves:
+        if replica.peer == NO_MEMBER or peer_leaves:
             return self._start_copy(slot, copying, now)
         if self._peers.draining:
             self._propose(slot, rp.propose_handover(replica))
--- a/wisteriastair/core/wire.py
+++ b/wisteriastair/core/wire.py
@@ -347,7 +347,7 @@
     program: str
 
 
-class NotCarrier(NamedTuple):
+class NotPrimary(NamedTuple):
     """The sender is not the primary of the slot; the slot table has changed."""
 
     request: str
@@ -408,7 +408,7 @@
     | ProgramText
     | ProgramOutcome
     | ProgramPending
-    | NotCarrier
+    | NotPrimary
     | ListPrograms
     | ProgramList
 )
