--- a/tests/core/chaos.py
+++ b/tests/core/chaos.py
@@ -83,11 +83,11 @@
                 f" | tool reserve {key}\nwords={self.random.randint(5, 80)}"
             )
             delay = self.random.random() * LAST_FAULT_S * 0.8
-            self.deployment.after(delay, partial(self.ask, key))
+            self.deployment.after(delay, partial(self.submit, key))
 
-    def ask(self, key: str) -> None:
+    def submit(self, key: str) -> None:
         self.request_counts[key] += 1
-        ask = RequestSpec(
+        spec = RequestSpec(
             "start",
             "citizens",
             key=key,
@@ -95,7 +95,7 @@
             prompt=self.prompts[key],
             stream=self.random.random() < 0.7,
         )
-        request = self.deployment.ask(ask, self.random.choice((1, 2)))
+        request = self.deployment.ask(spec, self.random.choice((1, 2)))
         self.deployment.on_last[request] = lambda e: self.on_ended(key, request, e)
 
     def on_ended(self, key: str, request: str, event: object) -> None:
@@ -108,7 +108,7 @@
             else event.outcome.retry_after_s
         )
         if retry_s > 0 and self.request_counts[key] < MAX_REQUESTS:
-            self.deployment.after(retry_s, lambda: self.ask(key))
+            self.deployment.after(retry_s, lambda: self.submit(key))
 
     # Faults
 
--- a/tests/core/test_failures.py
+++ b/tests/core/test_failures.py
@@ -177,7 +177,7 @@
     program = program_id("citizens", "k")
     primary = primary_of(deployment, program)
     rows = rows_of(deployment)
-    row = next(r for r in rows.values() if r.slot == _slot(deployment, program))
+    row = next(r for r in rows.values() if r.slot == _program_slot(deployment, program))
     deployment.cut(primary, row.standby.split(":")[0])
     run_until_ended(deployment, [request])
     assert answers(deployment, [request]) == [ANSWER]
@@ -187,7 +187,7 @@
     )
 
 
-def _slot(deployment: VirtualDeployment, program: str) -> int:
+def _program_slot(deployment: VirtualDeployment, program: str) -> int:
     from wisteriastair.core.hashing import slot_of
 
     return slot_of(program, deployment.cfg.slots)
@@ -297,7 +297,7 @@
     request = deployment.ask(start("k"))
     deployment.run(0.6)
     program = program_id("citizens", "k")
-    row = rows_of(deployment)[_slot(deployment, program)]
+    row = rows_of(deployment)[_program_slot(deployment, program)]
     for member in (row.primary, row.standby):
         deployment.kill(member.split(":")[0])
     run_until_ended(deployment, [request])
--- a/wisteriastair/core/calls.py
+++ b/wisteriastair/core/calls.py
@@ -70,18 +70,18 @@
         """Append the intent of a model call, or wait if no server is available."""
         program = run.program
         service = self._programs.service(run)
-        place = self._dispatcher.choose_model_server(
+        call_target = self._dispatcher.choose_model_server(
             program,
             service,
             self._programs.config,
             run.avoid_server,
             self._programs.now,
         )
-        if place is None:
+        if call_target is None:
             run.not_before = self._programs.now + NO_SERVER_RETRY_S
             return
         reserved = step.prompt_token_bound + step.max_tokens
-        self._append_intent(run, step, "model", place, "", True, reserved)
+        self._append_intent(run, step, "model", call_target, "", True, reserved)
 
     def append_tool_intent(self, run: RunningProgram, step: ToolStep) -> None:
         """Append the intent of a tool call, or wait if no server is available."""
@@ -89,8 +89,8 @@
         tool = tools.get(step.action.name)
         argument = step.action.argument
         if tool is None or step.action.name == SPAWN:
-            place = CallTarget("", "", step.action.name)
-            self._append_intent(run, step, "tool", place, argument, True, 0)
+            call_target = CallTarget("", "", step.action.name)
+            self._append_intent(run, step, "tool", call_target, argument, True, 0)
             return
         found = self._dispatcher.choose_tool_server(
             run.program,
@@ -102,15 +102,17 @@
         if found is None:
             run.not_before = self._programs.now + NO_SERVER_RETRY_S
             return
-        place = found._replace(target=f"{tool.provider}/{tool.name}")
-        self._append_intent(run, step, "tool", place, argument, tool.repeatable, 0)
+        call_target = found._replace(target=f"{tool.provider}/{tool.name}")
+        self._append_intent(
+            run, step, "tool", call_target, argument, tool.repeatable, 0
+        )
 
     def _append_intent(
         self,
         run: RunningProgram,
         step: ModelStep | ToolStep,
         kind: str,
-        place: CallTarget,
+        call_target: CallTarget,
         body: str,
         repeatable: bool,
         reserved: int,
@@ -120,9 +122,9 @@
             step.number,
             step.attempt,
             kind,
-            place.server,
-            place.gate,
-            place.target,
+            call_target.server,
+            call_target.gate,
+            call_target.target,
             body,
             repeatable,
             reserved,
--- a/wisteriastair/core/config.py
+++ b/wisteriastair/core/config.py
@@ -226,7 +226,7 @@
     Raises
     ------
     msgspec.ValidationError, msgspec.DecodeError
-        If the key contains anything else.
+        If the value was not written by `encode_config`.
     """
     if not data:
         return EMPTY_CONFIG
--- a/wisteriastair/core/gate.py
+++ b/wisteriastair/core/gate.py
@@ -296,8 +296,8 @@
         assert known.call is not None, "a queued call has its request"
         request = known.call
         started_at = known.state_since - request.age_s
-        waiting = QueuedCall(request.priority, known.state_since, started_at)
-        return self._order.key(waiting, now)
+        queued_call = QueuedCall(request.priority, known.state_since, started_at)
+        return self._order.key(queued_call, now)
 
     # Cache leases
 
--- a/wisteriastair/core/primary.py
+++ b/wisteriastair/core/primary.py
@@ -175,7 +175,9 @@
         run.uncommitted = 0
         self._track_state(record.program, run)
         for request in run.subscribers:
-            self._out.send(run.subscribers[request].reply_to, run.pending_message(request))
+            self._out.send(
+                run.subscribers[request].reply_to, run.pending_message(request)
+            )
         self._take_next_step(run)
 
     def _end_committed(
--- a/wisteriastair/core/replica.py
+++ b/wisteriastair/core/replica.py
@@ -315,8 +315,8 @@
     """
     if row.epoch <= replica.epoch:
         return replica
-    holds_log = row.fresh or replica.role is not Role.NONE
-    if not holds_log or replica.me not in (row.primary, row.standby, row.former):
+    has_log = row.fresh or replica.role is not Role.NONE
+    if not has_log or replica.me not in (row.primary, row.standby, row.former):
         return Replica(me=replica.me, slot=replica.slot, epoch=row.epoch)
     if row.primary == replica.me:
         return _become_primary(replica, row)
--- a/wisteriastair/core/wire.py
+++ b/wisteriastair/core/wire.py
@@ -363,7 +363,11 @@
 
 
 class ProgramRow(NamedTuple):
-    """One row of the operators' listing of programs."""
+    """One row of the operators' listing of programs.
+
+    The fields are columns of the query language; ``carrier`` is the member id of the
+    primary.
+    """
 
     program: str
     service: str
