--- a/tests/core/chaos.py
+++ b/tests/core/chaos.py
@@ -1,8 +1,8 @@
-"""Random faults against a virtual deployment, and the checker of what came out.
+"""Random faults in a virtual deployment, and the checker of the results.
 
-The checker takes its facts from the stand-ins: what the plain services executed, what
-the engines hold, what the key-value service stores, and what callers received.  The
-system's own word is never taken.
+The checker relies only on the stand-ins: the executions of the plain services, the
+cache of the engines, the contents of the key-value service and the events that callers
+received.  It never relies on reports of the system under test.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
     undisturbed,
 )
 
-PROGRAMS: Final = 24
-ASKS: Final = 12
+PROGRAM_COUNT: Final = 24
+MAX_REQUESTS: Final = 12
 LAST_FAULT_S: Final = 60.0
 SETTLE_S: Final = 240.0
-HOLD_S: Final = 30.0
+LEASE_EXPIRY_S: Final = 30.0
 SERVERS: Final = (
     VirtualServer("m1", "model", (MODEL,), "chingeltei"),
     VirtualServer("m2", "model", (MODEL,), "bayanzurkh"),
@@ -40,7 +40,7 @@
 
 
 class Report(NamedTuple):
-    """What a run showed; all but the first three must be 0."""
+    """Result of a run; all fields but the first three must be 0."""
 
     finished_whole: int
     outcome_unknown: int
@@ -50,7 +50,7 @@
     ran_twice: int
     wrong_not_run: int
     over_budget: int
-    held_left: int
+    leaked_cache: int
     unpaired: int
     reverted: int
 
@@ -66,7 +66,7 @@
         self.deployment = office(VirtualOptions(SERVERS, seed=seed, service_s=0.4))
         self.prompts: dict[str, str] = {}
         self.final: dict[str, Done | Refused] = {}
-        self.asks: Counter[str] = Counter()
+        self.request_counts: Counter[str] = Counter()
         self.broken: list[str] = []
         self.revisions: dict[str, int] = {}
         self.reverted = 0
@@ -75,7 +75,7 @@
     # Callers
 
     def start_programs(self) -> None:
-        for number in range(PROGRAMS):
+        for number in range(PROGRAM_COUNT):
             key = f"k{number}"
             self.prompts[key] = (
                 f"shared: You appraise.\nPuzzle {key}?\n"
@@ -83,11 +83,11 @@
                 f" | tool reserve {key}\nwords={self.random.randint(5, 80)}"
             )
             delay = self.random.random() * LAST_FAULT_S * 0.8
-            self.deployment.after(delay, partial(self.ask, key))
+            self.deployment.after(delay, partial(self.submit, key))
 
-    def ask(self, key: str) -> None:
-        self.asks[key] += 1
-        ask = RequestSpec(
+    def submit(self, key: str) -> None:
+        self.request_counts[key] += 1
+        spec = RequestSpec(
             "start",
             "citizens",
             key=key,
@@ -95,10 +95,10 @@
             prompt=self.prompts[key],
             stream=self.random.random() < 0.7,
         )
-        request = self.deployment.ask(ask, self.random.choice((1, 2)))
-        self.deployment.on_last[request] = lambda e: self.ended(key, request, e)
+        request = self.deployment.ask(spec, self.random.choice((1, 2)))
+        self.deployment.on_last[request] = lambda e: self.on_ended(key, request, e)
 
-    def ended(self, key: str, request: str, event: object) -> None:
+    def on_ended(self, key: str, request: str, event: object) -> None:
         assert isinstance(event, Done | Refused)
         self.final[key] = event
         streamed(self.deployment, request)
@@ -107,18 +107,18 @@
             if isinstance(event, Refused)
             else event.outcome.retry_after_s
         )
-        if retry_s > 0 and self.asks[key] < ASKS:
-            self.deployment.after(retry_s, lambda: self.ask(key))
+        if retry_s > 0 and self.request_counts[key] < MAX_REQUESTS:
+            self.deployment.after(retry_s, lambda: self.submit(key))
 
     # Faults
 
     def schedule(self) -> None:
         at = 1.0
         while at < LAST_FAULT_S:
-            self.deployment.after(at, self.fault)
+            self.deployment.after(at, self.inject_fault)
             at += 1.0 + self.random.random() * 5.0
 
-    def fault(self) -> None:
+    def inject_fault(self) -> None:
         deployment = self.deployment
         name = self.random.choice([f"side-{s.name}" for s in SERVERS])
         kind = self.random.choice(
@@ -127,7 +127,7 @@
         seconds = 0.5 + self.random.random() * 8.0
         self.log.append(f"{deployment.now - 1000:.2f} {kind} {name} {seconds:.1f}")
         usable = deployment.nodes[name].alive and not deployment.nodes[name].drained
-        if kind == "kill" and usable and self.may_kill():
+        if kind == "kill" and usable and self.can_kill():
             listed = self.random.random() < 0.5
             deployment.kill(name, listed=listed)
             deployment.after(seconds, lambda: self.restart(name))
@@ -143,24 +143,24 @@
             deployment.after(seconds, deployment.heal)
         elif kind == "outage":
             deployment.kv.up = False
-            deployment.after(seconds, self.kv_up)
+            deployment.after(seconds, self.restore_kv)
         elif kind == "lose":
             deployment.kv.lose_answers += self.random.randint(1, 3)
         elif kind == "disturb":
             self.disturb_messages(seconds)
 
-    def may_kill(self) -> bool:
-        """Kill only one member of a slot at a time; two at once may lose it."""
+    def can_kill(self) -> bool:
+        """Whether no other process is down; two failures at once may lose a slot."""
         nodes = self.deployment.nodes.values()
         if any(n.frozen or not n.alive or n.drained for n in nodes):
             return False
         return all_paired(self.deployment) and self.deployment.kv.up
 
-    def kv_up(self) -> None:
+    def restore_kv(self) -> None:
         self.deployment.kv.up = True
 
     def disturb_messages(self, seconds: float) -> None:
-        """Lose, delay and double some messages for a while."""
+        """Drop, delay and duplicate some messages for a while."""
         random = Random(self.random.random())
 
         def disturb(sender: str, to: str, message: Message) -> tuple[float, ...]:
@@ -174,9 +174,9 @@
             return (0.0,)
 
         self.deployment.disturb = disturb
-        self.deployment.after(seconds, self.disturb_nothing)
+        self.deployment.after(seconds, self.stop_disturbing)
 
-    def disturb_nothing(self) -> None:
+    def stop_disturbing(self) -> None:
         self.deployment.disturb = undisturbed
 
     def restart(self, name: str) -> None:
@@ -191,7 +191,7 @@
         self.deployment.start_side(server)
 
     def watch_revisions(self) -> None:
-        """Note every daemon's configuration; it must never go back."""
+        """Record the configuration revision of every daemon; it must never decrease."""
         for name, node in self.deployment.nodes.items():
             revision = node.core.docs.revisions().get("config", 0)
             if revision < self.revisions.get(name, 0):
@@ -199,18 +199,23 @@
             self.revisions[name] = revision
         self.deployment.after(0.5, self.watch_revisions)
 
-    # Verdict
+    # Result
 
-    def settled(self) -> bool:
-        return len(self.final) == PROGRAMS and all(
+    def is_settled(self) -> bool:
+        return len(self.final) == PROGRAM_COUNT and all(
             self.is_final(key) for key in self.final
         )
 
     def is_final(self, key: str) -> bool:
         event = self.final[key]
         if isinstance(event, Refused):
-            return event.failure.retry_after_s == 0 or self.asks[key] >= ASKS
-        return event.outcome.retry_after_s == 0 or self.asks[key] >= ASKS
+            return (
+                event.failure.retry_after_s == 0
+                or self.request_counts[key] >= MAX_REQUESTS
+            )
+        return (
+            event.outcome.retry_after_s == 0 or self.request_counts[key] >= MAX_REQUESTS
+        )
 
     def report(self) -> Report:
         executed = Counter(
@@ -239,7 +244,7 @@
             whole,
             unknown,
             refused,
-            PROGRAMS - len(self.final),
+            PROGRAM_COUNT - len(self.final),
             wrong,
             sum(1 for count in executed.values() if count > 1),
             not_run,
@@ -251,21 +256,21 @@
 
 
 def run_chaos(seed: int) -> tuple[Report, _Chaos]:
-    """Run one seed to its end."""
+    """Run one seed until all programs have ended and all leases have expired."""
     chaos = _Chaos(seed)
     chaos.start_programs()
     chaos.schedule()
     chaos.watch_revisions()
     chaos.deployment.run(LAST_FAULT_S + 10.0)
     chaos.deployment.heal()
-    chaos.disturb_nothing()
-    chaos.deployment.run_until(chaos.settled, SETTLE_S)
-    chaos.deployment.run(HOLD_S + 10.0)
+    chaos.stop_disturbing()
+    chaos.deployment.run_until(chaos.is_settled, SETTLE_S)
+    chaos.deployment.run(LEASE_EXPIRY_S + 10.0)
     return chaos.report(), chaos
 
 
 def core_of(deployment: VirtualDeployment, name: str) -> SideCore:
-    """Core of a side process."""
+    """Return the core of a side process."""
     core = deployment.nodes[name].core
     assert isinstance(core, SideCore)
     return core
--- a/tests/core/deployments.py
+++ b/tests/core/deployments.py
@@ -1,4 +1,4 @@
-"""Deployments that the failure tests share."""
+"""Virtual deployments for the failure tests."""
 
 from __future__ import annotations
 
@@ -40,33 +40,33 @@
     deployment.change(PutService("create", True, SERVICE))
     placed = deployment.run_until(lambda: all_paired(deployment), 30.0)
     assert placed, "the slots are placed"
-    # Until the slots have come to rest.
+    # Wait until the slots no longer move.
     deployment.run(30.0)
     return deployment
 
 
 def rows_of(deployment: VirtualDeployment) -> dict[int, SlotRow]:
-    """Return the slot table as the first entry knows it."""
+    """Return the slot table of the first entry."""
     return deployment.entry().placement.rows
 
 
 def all_paired(deployment: VirtualDeployment) -> bool:
-    """Whether every slot has a living carrier and a living standby."""
+    """Whether every slot has a live primary and a live standby."""
     rows = rows_of(deployment)
-    living = {n.member for n in deployment.nodes.values() if n.alive and not n.drained}
-    paired = [r for r in rows.values() if r.primary in living and r.standby in living]
+    live = {n.member for n in deployment.nodes.values() if n.alive and not n.drained}
+    paired = [r for r in rows.values() if r.primary in live and r.standby in live]
     return len(paired) == deployment.cfg.slots
 
 
 def start(key: str, *, prompt: str = PROMPT, stream: bool = True) -> RequestSpec:
-    """Ask for an appraisal."""
+    """Build the request for an appraisal."""
     return RequestSpec(
         "start", "citizens", key=key, service="appraisal", prompt=prompt, stream=stream
     )
 
 
 def primary_of(deployment: VirtualDeployment, program: str) -> str:
-    """Name of the process that carries a program now."""
+    """Return the name of the process that is the primary of a program."""
     for name, node in deployment.nodes.items():
         core = node.core
         if name.startswith("side") and node.alive and not node.drained:
@@ -79,7 +79,7 @@
 
 
 def answers(deployment: VirtualDeployment, requests: list[str]) -> list[str]:
-    """Answers of requests that ended with one; the error code of the others."""
+    """Return the answer of each request, or its error code."""
     found = []
     for request in requests:
         last = deployment.last(request)
@@ -97,11 +97,11 @@
 
 
 def streamed(deployment: VirtualDeployment, request: str) -> dict[int, str]:
-    """Text that a caller received, by model call, checked to be gapless."""
+    """Return the text that a caller received, by model call; check it for gaps."""
     texts: dict[int, str] = {}
     for event in deployment.events[request]:
         if isinstance(event, OutputText):
-            held = texts.get(event.number, "")
-            assert event.offset == len(held), "no gap and nothing twice"
-            texts[event.number] = held + event.text
+            received = texts.get(event.number, "")
+            assert event.offset == len(received), "no gap and nothing twice"
+            texts[event.number] = received + event.text
     return texts
--- a/tests/core/test_chaos.py
+++ b/tests/core/test_chaos.py
@@ -1,4 +1,4 @@
-"""Seeded random faults; and broken variants that the checker must catch."""
+"""Seeded random faults, and broken variants that the checker must detect."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from tests.core.chaos import FAULT_COLUMNS, Report, run_chaos
 from tests.core.deployments import office, start
 from wisteriastair.core.config import CONFIG_KEY, EMPTY_CONFIG, encode_config
-from wisteriastair.core.docs import Doc, Docs
+from wisteriastair.core.docs import Docs, Document
 from wisteriastair.core.events import Received
 from wisteriastair.core.gate import Gate
-from wisteriastair.core.primary import RETAIN_S
+from wisteriastair.core.primary import ENDED_RETENTION_S
 from wisteriastair.core.program import Program
 from wisteriastair.core.records import CallIntended
 from wisteriastair.core.side import SideCore
@@ -28,27 +28,27 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_promises_hold_under_random_faults(seed: int) -> None:
+def test_guarantees_hold_under_random_faults(seed: int) -> None:
     report, chaos = run_chaos(seed)
     assert not any(faults_of(report).values()), (report, chaos.log)
 
 
-def repeat_unknown_outcomes(self: Program, call: CallIntended, record: Any) -> None:
+def ignore_unknown_outcomes(self: Program, call: CallIntended, record: Any) -> None:
     return None
 
 
-def refuse_without_memory(
+def refuse_without_tombstone(
     self: Gate, to: str, call: Any, retry_after_s: float, now: float
 ) -> None:
     self._answer(to, self._result(call, "refused", "no", retry_after_s))
 
 
-def hold_for_ever(self: Gate, programs: tuple[str, ...]) -> None:
+def never_release(self: Gate, programs: tuple[str, ...]) -> None:
     return None
 
 
-def take_any_revision(self: Docs, key: str, revision: int, value: bytes) -> bool:
-    self.held[key] = Doc(revision, value)
+def accept_any_revision(self: Docs, key: str, revision: int, value: bytes) -> bool:
+    self.stored[key] = Document(revision, value)
     return False
 
 
@@ -56,27 +56,27 @@
     return any(getattr(run_chaos(seed)[0], column) for seed in BROKEN_SEEDS)
 
 
-def test_checker_sees_a_repeated_unknown_outcome(
+def test_checker_detects_repeated_unknown_outcome(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(Program, "_fatal", repeat_unknown_outcomes)
+    monkeypatch.setattr(Program, "_fatal_failure", ignore_unknown_outcomes)
     assert fails_on_some_seed("ran_twice")
 
 
-def test_checker_sees_memory_left_behind(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Gate, "release", hold_for_ever)
-    monkeypatch.setattr(Gate, "reconcile", hold_for_ever)
-    assert fails_on_some_seed("held_left")
+def test_checker_detects_leaked_cache(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(Gate, "release", never_release)
+    monkeypatch.setattr(Gate, "reconcile", never_release)
+    assert fails_on_some_seed("leaked_cache")
 
 
-def late_call_of_a_refused_id() -> int:
+def executions_with_late_call() -> int:
     """Run the scenario; return how often the reservation was executed.
 
-    The call to the gate is delayed on its way.  The carrier hears nothing, asks, and
-    is told "not run"; it makes a second attempt.  Then the delayed call arrives.
+    The call to the gate is delayed.  The primary receives no answer, looks the call
+    up, gets "not run" and makes a second attempt.  Then the delayed call arrives.
     """
     deployment = office()
-    # Let the slots come to rest: a hand-over in between would fence the late call off.
+    # Wait until the slots no longer move: a hand-over would fence off the late call.
     deployment.run(30.0)
     delayed: list[str] = []
 
@@ -95,51 +95,51 @@
     return len(done)
 
 
-def test_late_call_of_a_refused_id_does_not_run() -> None:
-    """The caller's reservation runs once although its first call arrives late.
+def test_late_call_of_refused_id_does_not_run() -> None:
+    """A reservation runs once although its first call arrives late.
 
-    By saying "not run" the gate has remembered the id, so the copy that arrives
-    after the second attempt is refused.
+    With its answer "not run" the gate stores a tombstone for the id, so it refuses the
+    call that arrives after the second attempt.
     """
-    assert late_call_of_a_refused_id() == 1
+    assert executions_with_late_call() == 1
 
 
-def test_gate_that_forgets_what_it_refused_runs_twice(
+def test_gate_without_tombstone_runs_call_twice(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(Gate, "_refuse", refuse_without_memory)
-    assert late_call_of_a_refused_id() == 2
+    monkeypatch.setattr(Gate, "_refuse", refuse_without_tombstone)
+    assert executions_with_late_call() == 2
 
 
-def revision_change_of_a_stale_push(*, broken: bool) -> int:
-    """Push an old document to a daemon; return how its revision changes."""
+def revision_change_after_stale_push(*, broken: bool) -> int:
+    """Push an old document to a daemon; return the change of its revision."""
     deployment = office()
     core = deployment.side("m1")
     if broken:
-        patched = partial(take_any_revision, core.docs)
-        setattr(core.docs, "offer", patched)  # noqa: B010
-    held = core.docs.held[CONFIG_KEY]
-    old = DocPush(CONFIG_KEY, held.revision - 1, encode_config(EMPTY_CONFIG))
+        patched = partial(accept_any_revision, core.docs)
+        setattr(core.docs, "store_if_newer", patched)  # noqa: B010
+    stored = core.docs.stored[CONFIG_KEY]
+    old = DocPush(CONFIG_KEY, stored.revision - 1, encode_config(EMPTY_CONFIG))
     core.step(Received("side-m2:1#2", old), deployment.now)
-    return core.docs.held[CONFIG_KEY].revision - held.revision
+    return core.docs.stored[CONFIG_KEY].revision - stored.revision
 
 
 def test_configuration_never_reverts() -> None:
-    """A stale peer pushes an older configuration; the daemon refuses it."""
-    assert revision_change_of_a_stale_push(broken=False) == 0
+    """A daemon refuses an older configuration from a stale peer."""
+    assert revision_change_after_stale_push(broken=False) == 0
 
 
-def test_docs_that_take_any_revision_revert() -> None:
-    assert revision_change_of_a_stale_push(broken=True) < 0
+def test_accepting_any_revision_reverts_configuration() -> None:
+    assert revision_change_after_stale_push(broken=True) < 0
 
 
-def test_nothing_is_kept_for_ever() -> None:
-    """After all that has gone wrong, every daemon forgets what has ended."""
+def test_ended_state_is_dropped() -> None:
+    """After random faults, every daemon drops ended programs, leases and calls."""
     report, chaos = run_chaos(4)
     assert not any(faults_of(report).values())
-    chaos.deployment.run(RETAIN_S + 200.0)
+    chaos.deployment.run(ENDED_RETENTION_S + 200.0)
     for node in chaos.deployment.nodes.values():
         if isinstance(node.core, SideCore) and node.alive and not node.drained:
             assert not node.core.programs.by_name
             assert all(not gate.leased_programs() for gate in node.core.gates.values())
-            assert all(gate.remembered == 0 for gate in node.core.gates.values())
+            assert all(gate.call_count == 0 for gate in node.core.gates.values())
--- a/tests/core/test_replica_model.py
+++ b/tests/core/test_replica_model.py
@@ -1,8 +1,8 @@
-"""Model checking of the replication protocol with the shipped transitions.
+"""Model checking of the replication protocol with the production transitions.
 
-A state holds the replicas of three processes, their logs (as tuples of entry
-numbers), the row in the key-value service, compare-and-swaps under way and messages
-under way.  Messages may be lost, doubled, delayed and reordered: a message stays in
+A state consists of the replicas of three processes, their logs (as tuples of entry
+numbers), the row in the key-value service, and the compare-and-swaps and messages in
+flight.  Messages may be lost, duplicated, delayed and reordered: a message stays in
 the state after delivery and may be delivered again or never.
 """
 
@@ -27,14 +27,14 @@
 
 
 class Node(NamedTuple):
-    """One process: its replica and the entries it holds."""
+    """One process: its replica and the entries of its log."""
 
     replica: Replica
     log: tuple[int, ...]
 
 
 class World(NamedTuple):
-    """The whole system."""
+    """State of the whole system."""
 
     nodes: tuple[Node | None, ...]
     row: SlotRow
@@ -48,11 +48,11 @@
 class Rules(NamedTuple):
     """The transitions under test; a broken variant replaces one of them."""
 
-    advance: Callable[..., Replica] = rp.acknowledged
+    advance: Callable[..., Replica] = rp.receive_ack
     receive: Callable[..., tuple[Replica, int]] = rp.receive_entries
     takeover: Callable[[Replica], SlotRow | None] = rp.takeover_row
     observe: Callable[[Replica, SlotRow], Replica] = rp.observe_row
-    name_learner: Callable[[Replica], Replica] = rp.propose_learner
+    propose_learner: Callable[[Replica], Replica] = rp.propose_learner
     old_epochs_matter: bool = False
 
 
@@ -62,21 +62,21 @@
     return World(nodes, row, frozenset(), frozenset(), (), 0, 0)
 
 
-def put(world: World, index: int, node: Node | None) -> World:
+def replace_node(world: World, index: int, node: Node | None) -> World:
     nodes = list(world.nodes)
     nodes[index] = node
     return world._replace(nodes=tuple(nodes))
 
 
 def release(world: World, node: Node) -> World:
-    """Record the entries a carrier lets take effect; they must survive."""
+    """Record the entries whose effects a primary releases; they must survive."""
     done = node.log[: node.replica.committed]
     if node.replica.role is Role.PRIMARY and len(done) > len(world.released):
         return world._replace(released=done)
     return world
 
 
-def proposals(world: World, index: int, node: Node, rules: Rules) -> list[Any]:
+def proposal_steps(world: World, index: int, node: Node, rules: Rules) -> list[Any]:
     steps = []
     wanted = rules.takeover(node.replica)
     if wanted is not None and wanted.epoch <= MAX_EPOCH:
@@ -84,14 +84,14 @@
         steps.append((f"{node.replica.me} takeover", after))
     for name, propose in (
         ("alone", rp.propose_alone),
-        ("name learner", rules.name_learner),
+        ("propose learner", rules.propose_learner),
         ("hand over", rp.propose_handover),
     ):
         changed = propose(node.replica)
         row = changed.proposal
         if changed == node.replica or row is None or row.epoch > MAX_EPOCH:
             continue
-        after = put(world, index, node._replace(replica=changed))
+        after = replace_node(world, index, node._replace(replica=changed))
         after = after._replace(swaps=after.swaps | {(row, node.replica.epoch)})
         steps.append((f"{node.replica.me} {name}", after))
     return steps
@@ -99,24 +99,24 @@
 
 def local_steps(world: World, index: int, node: Node, rules: Rules) -> list[Any]:
     replica = node.replica
-    steps = proposals(world, index, node, rules)
+    steps = proposal_steps(world, index, node, rules)
     if world.row.epoch > replica.epoch:
         seen = rules.observe(replica, world.row)
         log = () if seen.role is Role.NONE else node.log[: seen.last]
-        after = put(world, index, Node(seen, log))
-        steps.append((f"{replica.me} sees row", release(after, Node(seen, log))))
+        after = replace_node(world, index, Node(seen, log))
+        steps.append((f"{replica.me} observes row", release(after, Node(seen, log))))
     if replica.role is not Role.PRIMARY:
         return steps
     if rp.may_append(replica) and world.written < MAX_ENTRIES:
         entry = world.written + 1
         changed = Node(rp.append(replica), (*node.log, entry))
-        after = put(world, index, changed)._replace(written=entry)
+        after = replace_node(world, index, changed)._replace(written=entry)
         steps.append((f"{replica.me} appends {entry}", after))
-    steps += sends(world, index, node)
+    steps += sending_steps(world, index, node)
     return steps
 
 
-def sends(world: World, index: int, node: Node) -> list[Any]:
+def sending_steps(world: World, index: int, node: Node) -> list[Any]:
     replica = node.replica
     steps = []
     if replica.peer:
@@ -125,15 +125,18 @@
     if replica.learner:
         target = (replica.me, replica.learner, replica.epoch, replica.session)
         steps.append((f"{replica.me} copies", send(world, ("copy", *target, node.log))))
-        if replica.learnt >= 0:
+        if replica.learner_acked >= 0:
             steps.append(
-                (f"{replica.me} feeds", send(world, ("append", *target, node.log)))
+                (
+                    f"{replica.me} sends entries to learner",
+                    send(world, ("append", *target, node.log)),
+                )
             )
     elif replica.proposal is None:
         for member in MEMBERS:
             if member not in (replica.me, replica.peer) and replica.session < 1:
                 changed = rp.start_copy(replica, member)
-                after = put(world, index, node._replace(replica=changed))
+                after = replace_node(world, index, node._replace(replica=changed))
                 steps.append((f"{replica.me} chooses {member}", after))
     return steps
 
@@ -154,17 +157,17 @@
             replica, sender=sender, epoch=epoch, session=session, last=payload
         )
         after = Node(changed, node.log)
-        return release(put(world, index, after), after)
+        return release(replace_node(world, index, after), after)
     ack = ("ack", receiver, sender, epoch, session)
     if kind == "copy":
-        changed = rp.learn(
+        changed = rp.become_learner(
             replica, sender=sender, epoch=epoch, session=session, last=len(payload)
         )
         if changed == replica or (replica.role is Role.LEARNER and payload != node.log):
             return world
-        world = put(world, index, Node(changed, payload))
+        world = replace_node(world, index, Node(changed, payload))
         return send(world, (*ack, len(payload)))
-    changed, taken = rules.receive(
+    changed, accepted_count = rules.receive(
         replica,
         sender=sender,
         epoch=epoch,
@@ -172,10 +175,10 @@
         first=1,
         count=len(payload),
     )
-    if taken < 0:
+    if accepted_count < 0:
         return world
-    log = payload if taken else node.log
-    return send(put(world, index, Node(changed, log)), (*ack, changed.last))
+    log = payload if accepted_count else node.log
+    return send(replace_node(world, index, Node(changed, log)), (*ack, changed.last))
 
 
 def steps_of(world: World, rules: Rules) -> list[Any]:
@@ -185,8 +188,10 @@
             continue
         steps += local_steps(world, index, node, rules)
         if world.crashes < MAX_CRASHES:
-            dead = put(world, index, None)._replace(crashes=world.crashes + 1)
-            steps.append((f"{node.replica.me} dies", dead))
+            crashed = replace_node(world, index, None)._replace(
+                crashes=world.crashes + 1
+            )
+            steps.append((f"{node.replica.me} crashes", crashed))
     for row, expected in world.swaps:
         if world.row.epoch == expected:
             steps.append((f"swap {row}", world._replace(row=row)))
@@ -197,17 +202,17 @@
 
 
 def prune(world: World, rules: Rules) -> World:
-    """Drop what can never have an effect again, to keep the search small.
+    """Drop messages and swaps without any further effect, to reduce the search.
 
-    Epochs only grow, so a message of an epoch that its receiver has left and a swap
-    that expects a row already replaced are no-ops for ever.
+    Epochs only increase, so a message of an epoch older than that of its receiver and
+    a swap that expects a replaced row never have an effect again.
     """
-    messages = frozenset(m for m in world.messages if matters(world, m, rules))
+    messages = frozenset(m for m in world.messages if can_have_effect(world, m, rules))
     swaps = frozenset(s for s in world.swaps if s[1] >= world.row.epoch)
     return world._replace(messages=messages, swaps=swaps)
 
 
-def matters(world: World, message: tuple[Any, ...], rules: Rules) -> bool:
+def can_have_effect(world: World, message: tuple[Any, ...], rules: Rules) -> bool:
     kind, sender, receiver, epoch, session, payload = message
     node = world.nodes[MEMBERS.index(receiver)]
     if node is None:
@@ -216,12 +221,12 @@
         return rules.old_epochs_matter and kind == "append"
     if kind != "ack" or node.replica.epoch < epoch:
         return True
-    known = node.replica.acked if session == 0 else node.replica.learnt
+    known = node.replica.standby_acked if session == 0 else node.replica.learner_acked
     return bool(payload > known)
 
 
-def history_survives(fields: dict[str, Any]) -> bool:
-    """Check that what was released is in the log of whoever may act on it."""
+def released_entries_survive(fields: dict[str, Any]) -> bool:
+    """Check that the log of the current primary contains all released entries."""
     world = World(**fields)
     released = world.released
     for node in world.nodes:
@@ -233,8 +238,8 @@
     return True
 
 
-def log_recoverable(fields: dict[str, Any]) -> bool:
-    """Check that a living member that the table names holds all released entries."""
+def log_is_recoverable(fields: dict[str, Any]) -> bool:
+    """Check that a live member named by the table has all released entries."""
     world = World(**fields)
     named = (world.row.primary, world.row.standby, world.row.former)
     logs = [n.log for n in world.nodes if n is not None and n.replica.me in named]
@@ -242,8 +247,8 @@
     return any(log[:done] == world.released for log in logs)
 
 
-def no_two_commit(fields: dict[str, Any]) -> bool:
-    """Two carriers never release different entries at the same position."""
+def commits_agree(fields: dict[str, Any]) -> bool:
+    """Check that no primaries commit different entries at the same position."""
     world = World(**fields)
     for node in world.nodes:
         if node is None or node.replica.role is not Role.PRIMARY:
@@ -254,8 +259,8 @@
     return True
 
 
-def holder_exists(fields: dict[str, Any]) -> bool:
-    """Check that the carrier the table names holds the log, if it knows."""
+def named_primary_has_log(fields: dict[str, Any]) -> bool:
+    """Check that the primary named by the table has the log if it has seen the row."""
     world = World(**fields)
     for node in world.nodes:
         if node is None or node.replica.me != world.row.primary:
@@ -269,15 +274,15 @@
 Invariant = Callable[[dict[str, Any]], bool]
 
 INVARIANTS: dict[str, Invariant] = {
-    "history survives": history_survives,
-    "log recoverable": log_recoverable,
-    "no two commit": no_two_commit,
-    "holder exists": holder_exists,
+    "released entries survive": released_entries_survive,
+    "log is recoverable": log_is_recoverable,
+    "commits agree": commits_agree,
+    "named primary has log": named_primary_has_log,
 }
 
 
-class Violated(Exception):
-    """Ends the search of a broken variant at its first counterexample."""
+class InvariantViolated(Exception):
+    """Raised to end the search of a broken variant at its first counterexample."""
 
 
 def check(rules: Rules, invariants: dict[str, Invariant]) -> dict[str, Any]:
@@ -293,24 +298,24 @@
     return result
 
 
-def or_stop(name: str, holds: Invariant) -> Invariant:
+def stop_on_violation(name: str, holds: Invariant) -> Invariant:
     def checked(fields: dict[str, Any]) -> bool:
         if not holds(fields):
-            raise Violated(name)
+            raise InvariantViolated(name)
         return True
 
     return checked
 
 
-def test_shipped_protocol_keeps_every_released_entry() -> None:
-    """No interleaving within the bounds loses or splits what was released."""
+def test_no_released_entry_is_lost() -> None:
+    """No interleaving within the bounds loses a released entry or forks the log."""
     result = check(Rules(), INVARIANTS)
     for name, outcome in result["properties"].items():
         assert outcome["holds"], (name, outcome["counterexample"])
 
 
 def commit_without_standby(replica: Replica, **ack: Any) -> Replica:
-    changed = rp.acknowledged(replica, **ack)
+    changed = rp.receive_ack(replica, **ack)
     if changed.role is Role.PRIMARY:
         return changed._replace(committed=changed.last)
     return changed
@@ -322,26 +327,26 @@
     return rp.receive_entries(replica, **entries)
 
 
-def former_drops_its_copy(replica: Replica, row: SlotRow) -> Replica:
+def drop_former_copy(replica: Replica, row: SlotRow) -> Replica:
     return rp.observe_row(replica, row._replace(former=rp.NO_MEMBER))
 
 
-def anyone_takes_over(replica: Replica) -> SlotRow | None:
+def take_over_as_learner(replica: Replica) -> SlotRow | None:
     if replica.role is Role.LEARNER:
         return rp.takeover_row(replica._replace(role=Role.STANDBY))
     return rp.takeover_row(replica)
 
 
-def name_before_copy(replica: Replica) -> Replica:
-    return rp.propose_learner(replica._replace(learnt=replica.last))
+def propose_before_copy(replica: Replica) -> Replica:
+    return rp.propose_learner(replica._replace(learner_acked=replica.last))
 
 
 BROKEN = {
     "commits without the standby": Rules(advance=commit_without_standby),
     "ignores the epoch": Rules(receive=acknowledge_any_epoch, old_epochs_matter=True),
-    "former member drops its copy": Rules(observe=former_drops_its_copy),
-    "learner takes over": Rules(takeover=anyone_takes_over),
-    "names before the copy": Rules(name_learner=name_before_copy),
+    "former member drops its copy": Rules(observe=drop_former_copy),
+    "learner takes over": Rules(takeover=take_over_as_learner),
+    "proposes learner before the copy": Rules(propose_learner=propose_before_copy),
 }
 
 
@@ -349,9 +354,11 @@
 def test_broken_variant_gives_counterexample(
     variant: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The check is able to fail: each missing safeguard is found."""
-    stopping = {name: or_stop(name, holds) for name, holds in INVARIANTS.items()}
+    """The check finds a counterexample for each missing safeguard."""
+    stopping = {
+        name: stop_on_violation(name, holds) for name, holds in INVARIANTS.items()
+    }
     monkeypatch.setattr(f"{__name__}.MAX_ENTRIES", 2)
     with pytest.raises(ValueError, match="raised on state") as caught:
         check(BROKEN[variant], stopping)
-    assert isinstance(caught.value.__cause__, Violated)
+    assert isinstance(caught.value.__cause__, InvariantViolated)
--- a/wisteriastair/core/calls.py
+++ b/wisteriastair/core/calls.py
@@ -1,8 +1,9 @@
-"""Calls of programs: choosing a server, dispatch, answers, look-ups.
+"""Calls of programs: choosing a server, dispatch, results, look-ups.
 
-A call is dispatched once its intent is committed.  If its gate falls silent the gate is
-asked, by the call's id and whatever its incarnation, what became of it; nothing is
-repeated before that is known, and never if it may have run and must not run twice.
+A call is dispatched once its intent is committed.  If no message about it arrives, the
+primary asks the gate for the state of the call by its id, whichever incarnation the
+gate now has.  A call is not repeated before its state is known, and never if it may
+have run and is not repeatable.
 """
 
 from __future__ import annotations
@@ -23,34 +24,34 @@
     CallText,
     GateCall,
     GateCancel,
-    GateForget,
+    GateDiscard,
     GateLookup,
-    HoldRelease,
-    HoldRenew,
+    LeaseRelease,
+    LeaseRenew,
     ServerLoad,
 )
 
-LOOKUP_S: Final = 1.0
-GATE_LOST_S: Final = 6.0
-NO_SERVER_WAIT_S: Final = 0.25
-RETRY_WAIT_S: Final = 0.05
-RETRY_WAIT_MAX_S: Final = 5.0
-UNKNOWN_TOOL: Final = "error: no such tool"
+LOOKUP_INTERVAL_S: Final = 1.0
+GATE_TIMEOUT_S: Final = 6.0
+NO_SERVER_RETRY_S: Final = 0.25
+RETRY_BASE_S: Final = 0.05
+MAX_RETRY_WAIT_S: Final = 5.0
+UNKNOWN_TOOL_TEXT: Final = "error: no such tool"
 
 
 class Calls:
-    """The calls of the programs carried here.
+    """Makes the calls of the programs that run in this process.
 
     Parameters
     ----------
     programs : RunningPrograms
-        The programs.
+        Programs of the slots whose primary is this process.
     dispatcher : Dispatcher
         Chooses servers.
     peers : Peers
         Finds gates.
     out : Outbox
-        Where effects go.
+        Receives the effects.
     """
 
     def __init__(
@@ -65,31 +66,31 @@
         self._peers = peers
         self._out = out
 
-    def intend_model(self, run: RunningProgram, step: ModelStep) -> None:
-        """Append the intent of a model call, or wait if no server is there now."""
+    def append_model_intent(self, run: RunningProgram, step: ModelStep) -> None:
+        """Append the intent of a model call, or wait if no server is available."""
         program = run.program
         service = self._programs.service(run)
-        place = self._dispatcher.choose_model_server(
+        call_target = self._dispatcher.choose_model_server(
             program,
             service,
             self._programs.config,
             run.avoid_server,
             self._programs.now,
         )
-        if place is None:
-            run.not_before = self._programs.now + NO_SERVER_WAIT_S
+        if call_target is None:
+            run.not_before = self._programs.now + NO_SERVER_RETRY_S
             return
         reserved = step.prompt_token_bound + step.max_tokens
-        self._intend(run, step, "model", place, "", True, reserved)
+        self._append_intent(run, step, "model", call_target, "", True, reserved)
 
-    def intend_tool(self, run: RunningProgram, step: ToolStep) -> None:
-        """Append the intent of a tool call, or wait if no server is there now."""
+    def append_tool_intent(self, run: RunningProgram, step: ToolStep) -> None:
+        """Append the intent of a tool call, or wait if no server is available."""
         tools = {tool.name: tool for tool in self._programs.service(run).tools}
         tool = tools.get(step.action.name)
         argument = step.action.argument
         if tool is None or step.action.name == SPAWN:
-            place = CallTarget("", "", step.action.name)
-            self._intend(run, step, "tool", place, argument, True, 0)
+            call_target = CallTarget("", "", step.action.name)
+            self._append_intent(run, step, "tool", call_target, argument, True, 0)
             return
         found = self._dispatcher.choose_tool_server(
             run.program,
@@ -99,17 +100,19 @@
             self._programs.now,
         )
         if found is None:
-            run.not_before = self._programs.now + NO_SERVER_WAIT_S
+            run.not_before = self._programs.now + NO_SERVER_RETRY_S
             return
-        place = found._replace(target=f"{tool.provider}/{tool.name}")
-        self._intend(run, step, "tool", place, argument, tool.repeatable, 0)
+        call_target = found._replace(target=f"{tool.provider}/{tool.name}")
+        self._append_intent(
+            run, step, "tool", call_target, argument, tool.repeatable, 0
+        )
 
-    def _intend(
+    def _append_intent(
         self,
         run: RunningProgram,
         step: ModelStep | ToolStep,
         kind: str,
-        place: CallTarget,
+        call_target: CallTarget,
         body: str,
         repeatable: bool,
         reserved: int,
@@ -119,9 +122,9 @@
             step.number,
             step.attempt,
             kind,
-            place.server,
-            place.gate,
-            place.target,
+            call_target.server,
+            call_target.gate,
+            call_target.target,
             body,
             repeatable,
             reserved,
@@ -131,15 +134,15 @@
 
     def dispatch(self, run: RunningProgram, intent: CallIntended) -> None:
         """Send a call whose intent is committed to its gate."""
-        run.asked_at = run.heard_at = self._programs.now
+        run.looked_up_at = run.last_heard_at = self._programs.now
         if not intent.server:
-            self._append_end(run, _local_result(intent, UNKNOWN_TOOL))
+            self._append_end(run, _local_result(intent, UNKNOWN_TOOL_TEXT))
             return
         program = run.program
         start = program.start
-        model = intent.kind == "model"
-        body = program.model_body(program.partial) if model else intent.body
-        bound = program.prompt_token_bound() if model else 0
+        is_model = intent.kind == "model"
+        body = program.model_body(program.partial_text) if is_model else intent.body
+        bound = program.prompt_token_bound() if is_model else 0
         limits = start.limits
         call = GateCall(
             CallId(start.program, intent.number, intent.attempt),
@@ -150,13 +153,13 @@
             intent.kind,
             intent.name,
             body,
-            len(program.partial) if model else 0,
+            len(program.partial_text) if is_model else 0,
             intent.repeatable,
             max(0, intent.reserved - bound),
             self._programs.service(run).priority,
             self._programs.now - start.started_at,
             bound,
-            self._remaining_s(run) if model else limits.tool_s,
+            self._remaining_s(run) if is_model else limits.tool_s,
             self._programs.now,
             run.trace,
         )
@@ -166,30 +169,33 @@
         start = run.program.start
         return max(0.0, start.started_at + start.limits.wall_s - self._programs.now)
 
-    # Answers of gates
+    # Messages from gates
+
+    def _find_open_call(self, call: CallId) -> RunningProgram | None:
+        """Return the program whose open call this is; None if the message is late.
 
-    def _open_call(self, call: CallId) -> RunningProgram | None:
-        """Return the program whose open call this is; anything else is late."""
+        Also records the time of the message.
+        """
         run = self._programs.by_name.get(call.program)
         if run is None or run.program.call is None or run.ending:
             return None
         intent = run.program.call
         if (intent.number, intent.attempt) != (call.number, call.attempt):
             return None
-        run.heard_at = self._programs.now
-        run.asked_at = self._programs.now
+        run.last_heard_at = self._programs.now
+        run.looked_up_at = self._programs.now
         return run
 
     def on_text(self, sender: str, message: CallText) -> None:
         """Append streamed output; it reaches callers when committed."""
-        run = self._open_call(message.call)
-        if run is None or not run.wants_stream():
+        run = self._find_open_call(message.call)
+        if run is None or not run.has_streaming_subscriber():
             return
         if not self._programs.may_append(run):
             return
         skip = run.text_length - message.offset
         if skip < 0:
-            self._ask(run)
+            self._look_up_open_call(run)
             return
         new = message.text[skip:]
         if not new:
@@ -201,26 +207,26 @@
         self._programs.append(run, record)
 
     def on_pending(self, message: CallPending) -> None:
-        """Note that the gate still works on a call."""
-        self._open_call(message.call)
+        """Record that the gate is still working on a call."""
+        self._find_open_call(message.call)
 
     def on_result(self, result: CallResult) -> None:
         """Append the end of a call."""
-        run = self._open_call(result.call)
+        run = self._find_open_call(result.call)
         if run is None or not self._programs.may_append(run):
             return
         self._dispatcher.record_result(run.program, result, self._programs.now)
         if result.status != "ok":
             run.avoid_server = result.server
-            asked = min(result.retry_after_s, RETRY_WAIT_MAX_S)
-            wait = max(asked, _retry_wait_s(result.call.attempt))
-            run.not_before = self._programs.now + wait
+            requested_s = min(result.retry_after_s, MAX_RETRY_WAIT_S)
+            wait_s = max(requested_s, _retry_wait_s(result.call.attempt))
+            run.not_before = self._programs.now + wait_s
         else:
             run.avoid_server = ""
         self._append_end(run, result)
 
     def _append_end(self, run: RunningProgram, result: CallResult) -> None:
-        skip = run.text_length - run.program.call_base
+        skip = run.text_length - run.program.call_text_offset
         text = result.text[skip:] if result.status == "ok" else ""
         record = CallEnded(
             result.call.program,
@@ -238,56 +244,59 @@
         run.ending = True
         self._programs.append(run, record)
 
-    def forget(self, call: CallIntended | None) -> None:
-        """Let the gate drop the outcome of a call; it is committed."""
+    def discard_result(self, call: CallIntended | None) -> None:
+        """Allow the gate to drop the result of a call, since it is committed."""
         if call is not None and call.server:
-            self._out.send(call.gate, GateForget(_id_of(call), call.server))
+            self._out.send(call.gate, GateDiscard(_id_of(call), call.server))
 
     def cancel(self, call: CallIntended) -> None:
-        """Have the gate stop a call that nobody needs."""
+        """Ask the gate to stop a call whose result is no longer needed."""
         if call.server:
             self._out.send(call.gate, GateCancel(_id_of(call), call.server))
 
-    def release(self, server: str, program: str) -> None:
-        """Have a server drop what it holds for a program."""
+    def release_cache(self, server: str, program: str) -> None:
+        """Release the cache that a server has for a program."""
         instance = self._peers.gate_instance_of(server)
         if instance is not None:
-            self._out.send(instance.address, HoldRelease(server, (program,)))
+            self._out.send(instance.address, LeaseRelease(server, (program,)))
 
-    def watch(self, run: RunningProgram, call: CallIntended) -> None:
-        """Look a silent call up, or give it up."""
+    def check_progress(self, run: RunningProgram, call: CallIntended) -> None:
+        """Look up a call without recent messages, or give it up."""
         if not call.server:
             return
-        limit = run.program.start.limits.tool_s
-        silent = self._programs.now - run.heard_at
-        # A call that must not be repeated is asked about for as long as it may take:
-        # giving it up early would make its outcome unknown for no reason.
-        patience = GATE_LOST_S if call.repeatable else max(GATE_LOST_S, limit)
-        gone = self._peers.is_confirmed_down(call.gate) and silent > LOOKUP_S
+        limit_s = run.program.start.limits.tool_s
+        silent_s = self._programs.now - run.last_heard_at
+        # A call that must not be repeated is looked up for its whole time limit:
+        # giving it up earlier would make its outcome unknown without need.
+        timeout_s = GATE_TIMEOUT_S if call.repeatable else max(GATE_TIMEOUT_S, limit_s)
+        gate_down = (
+            self._peers.is_confirmed_down(call.gate) and silent_s > LOOKUP_INTERVAL_S
+        )
         overdue = (
-            call.kind == "tool" and self._programs.now - call.intended_at > limit + 1.0
+            call.kind == "tool"
+            and self._programs.now - call.intended_at > limit_s + 1.0
         )
-        if silent > patience or gone or overdue:
+        if silent_s > timeout_s or gate_down or overdue:
             self.cancel(call)
-            self._lose(run, call)
-        elif self._programs.now - run.asked_at > LOOKUP_S:
+            self._append_lost(run, call)
+        elif self._programs.now - run.looked_up_at > LOOKUP_INTERVAL_S:
             self.look_up(run, call)
 
-    def _lose(self, run: RunningProgram, call: CallIntended) -> None:
+    def _append_lost(self, run: RunningProgram, call: CallIntended) -> None:
         if self._programs.may_append(run):
             run.avoid_server = call.server
             run.not_before = self._programs.now + _retry_wait_s(call.attempt)
             self._append_end(run, _lost_result(call))
 
-    def _ask(self, run: RunningProgram) -> None:
+    def _look_up_open_call(self, run: RunningProgram) -> None:
         if run.program.call is not None:
             self.look_up(run, run.program.call)
 
     def look_up(self, run: RunningProgram, call: CallIntended) -> None:
-        """Ask the gate, whatever its incarnation, what became of a call."""
-        run.asked_at = self._programs.now
+        """Ask the gate, whichever incarnation it now has, for the state of a call."""
+        run.looked_up_at = self._programs.now
         if not call.server:
-            self._append_end(run, _local_result(call, UNKNOWN_TOOL))
+            self._append_end(run, _local_result(call, UNKNOWN_TOOL_TEXT))
             return
         lookup = GateLookup(
             _id_of(call),
@@ -299,8 +308,8 @@
         )
         self._out.send(address_of(call.gate), lookup)
 
-    def renew_holds(self) -> None:
-        """Tell each gate, in one message, which programs live."""
+    def renew_leases(self) -> None:
+        """Renew the cache leases of live programs, in one message per server."""
         by_server: dict[str, list[str]] = {}
         for name in self._programs.live:
             for server in self._programs.by_name[name].program.servers:
@@ -308,12 +317,12 @@
         for server, names in sorted(by_server.items()):
             instance = self._peers.gate_instance_of(server)
             if instance is not None:
-                self._out.send(instance.address, HoldRenew(server, tuple(names)))
+                self._out.send(instance.address, LeaseRenew(server, tuple(names)))
 
 
 def _retry_wait_s(attempt: int) -> float:
-    """Seconds before the next attempt; doubles, so that a short fault is outlived."""
-    return min(RETRY_WAIT_MAX_S, RETRY_WAIT_S * 2.0**attempt)
+    """Seconds before the next attempt; doubled each time to outlast short faults."""
+    return min(MAX_RETRY_WAIT_S, RETRY_BASE_S * 2.0**attempt)
 
 
 def _id_of(call: CallIntended) -> CallId:
--- a/wisteriastair/core/config.py
+++ b/wisteriastair/core/config.py
@@ -1,12 +1,12 @@
 """The operators' configuration as a fold of changes.
 
-The whole configuration is one document under one key, so the key's revision in
-the key-value service is the revision of the configuration: compare-and-swap gives
-all changes one order, and two operators who race get one winner.
+The whole configuration is one document under one key, so the revision of the key in
+the key-value service is the revision of the configuration.  Compare-and-swap puts
+all changes in one order; of two concurrent changes only one succeeds.
 
-The document remembers the ids of its newest changes.  An operator's process that
-lost the answer to a write reads the document back and looks for its own change id;
-it never assumes.
+The document stores the ids of its newest changes.  A process that received no answer
+to a write reads the document back and looks for the id of its change, instead of
+assuming that the write succeeded or failed.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from ..errors import Code, Failure
 
 CONFIG_KEY: Final = "config"
-REMEMBERED_CHANGES: Final = 64
+MAX_STORED_CHANGES: Final = 64
 MAX_CONFIG_BYTES: Final = 1_000_000
 
 SERVER_KINDS: Final = ("model", "plain")
@@ -26,7 +26,7 @@
 
 
 class Tool(NamedTuple):
-    """A tool of a service: the plain service behind it and whether it may repeat."""
+    """A tool of a service, the plain service behind it and whether calls may repeat."""
 
     name: str
     provider: str
@@ -39,17 +39,17 @@
     Attributes
     ----------
     budget : int
-        Most tokens a program may use.
+        Maximum number of tokens of a program.
     priority : int
         Higher goes first.
     models : tuple of str
-        Model versions the service may use, the preferred one first.
+        Model versions that the service may use, in order of preference.
     max_turns, max_tokens : int
         See `records.Limits`.
     wall_s, tool_s : float
         See `records.Limits`; seconds.
     waste_weight : float
-        0 to 1: how much wasted cache counts against program latency.
+        Weight of wasted cache against program latency, from 0 to 1.
     tools : tuple of Tool
         Tools its programs may call.
     """
@@ -76,7 +76,7 @@
     serves : tuple of str
         Model versions, or names of plain services.
     state : str
-        ``active`` or ``leaving``; a leaving one gets no new work.
+        ``active`` or ``leaving``; a leaving server gets no new calls.
     """
 
     name: str
@@ -86,7 +86,7 @@
 
 
 class Config(NamedTuple):
-    """The whole configuration."""
+    """The whole configuration, with the ids of its newest changes."""
 
     services: dict[str, Service]
     servers: dict[str, Server]
@@ -97,7 +97,7 @@
 
 
 class PutService(NamedTuple):
-    """Create a service, or replace one that exists."""
+    """Create a service, or replace an existing one."""
 
     change: str
     create: bool
@@ -105,7 +105,7 @@
 
 
 class DropService(NamedTuple):
-    """Remove a service; its programs under way finish."""
+    """Remove a service; its running programs finish."""
 
     change: str
     name: str
@@ -127,7 +127,7 @@
 
 
 class DropServer(NamedTuple):
-    """Forget a backend server."""
+    """Remove a backend server."""
 
     change: str
     name: str
@@ -142,7 +142,7 @@
     Returns
     -------
     Config or Failure
-        The new configuration, or why the change is refused.
+        The new configuration, or the reason for which the change is refused.
     """
     services = dict(config.services)
     servers = dict(config.servers)
@@ -166,7 +166,7 @@
             servers.pop(change.name, None)
     if failure is not None:
         return failure
-    changes = (*config.changes, change.change)[-REMEMBERED_CHANGES:]
+    changes = (*config.changes, change.change)[-MAX_STORED_CHANGES:]
     return Config(services, servers, changes)
 
 
@@ -204,7 +204,7 @@
 
 
 def encode_config(config: Config) -> bytes:
-    """Encode for the key-value service (JSON, so that operators can read it)."""
+    """Encode for the key-value service, as JSON so that operators can read it."""
     return msgspec.json.encode(
         {
             "services": [s._asdict() for s in config.services.values()],
@@ -214,39 +214,43 @@
     )
 
 
-class _Stored(msgspec.Struct):
+class _StoredConfig(msgspec.Struct):
     services: list[dict[str, object]]
     servers: list[dict[str, object]]
     changes: tuple[str, ...]
 
 
 def decode_config(data: bytes) -> Config:
-    """Decode what `encode_config` wrote; no bytes are the empty configuration.
+    """Decode the output of `encode_config`; no bytes mean the empty configuration.
 
     Raises
     ------
     msgspec.ValidationError, msgspec.DecodeError
-        If somebody else has written the key.
+        If the value was not written by `encode_config`.
     """
     if not data:
         return EMPTY_CONFIG
-    stored = msgspec.json.decode(data, type=_Stored)
-    services = [_service_from(fields) for fields in stored.services]
-    servers = [_server_from(fields) for fields in stored.servers]
+    stored = msgspec.json.decode(data, type=_StoredConfig)
+    services = [_decode_service(fields) for fields in stored.services]
+    servers = [_decode_server(fields) for fields in stored.servers]
     return Config(
         {s.name: s for s in services}, {s.name: s for s in servers}, stored.changes
     )
 
 
-def _service_from(fields: dict[str, object]) -> Service:
-    row = [fields.get(name, Service._field_defaults.get(name)) for name in _SERVICE]
+def _decode_service(fields: dict[str, object]) -> Service:
+    row = [
+        fields.get(name, Service._field_defaults.get(name)) for name in _SERVICE_FIELDS
+    ]
     return msgspec.convert(row, Service)
 
 
-def _server_from(fields: dict[str, object]) -> Server:
-    row = [fields.get(name, Server._field_defaults.get(name)) for name in _SERVER]
+def _decode_server(fields: dict[str, object]) -> Server:
+    row = [
+        fields.get(name, Server._field_defaults.get(name)) for name in _SERVER_FIELDS
+    ]
     return msgspec.convert(row, Server)
 
 
-_SERVICE: Final = Service._fields
-_SERVER: Final = Server._fields
+_SERVICE_FIELDS: Final = Service._fields
+_SERVER_FIELDS: Final = Server._fields
--- a/wisteriastair/core/docs.py
+++ b/wisteriastair/core/docs.py
@@ -1,14 +1,14 @@
-"""Spreading the platform's documents to every process.
+"""Gossip of the documents of the key-value service to every process.
 
-The key-value service counts every call and every waiting watch, and its rates grow
-more slowly than the fleet.  So only a few processes, chosen by rendezvous hash in
-each failure domain, watch it.  A watcher passes a new revision on to a few peers,
-they to others; heartbeats and a periodic question to a random peer carry the
-revisions held and repair what was lost.
+The key-value service limits calls and open watches, and its limits grow more slowly
+than the number of processes.  So only a few processes, chosen by rendezvous hash in
+each failure domain, watch it.  A watcher pushes a new revision to a few peers, which
+push it to others.  Heartbeats and a periodic pull from a random peer contain the
+stored revisions and repair lost messages.
 
-Each document has the revision that the key-value service gave it.  A process keeps
-the highest revision it has seen and refuses lower ones, whoever sends them: a stale
-peer, a delayed message or a platform restored from an old copy cannot make a
+Each document has its revision in the key-value service.  A process stores the
+highest revision it has received and refuses lower ones from every sender: a stale
+peer, a delayed message or a key-value service restored from a backup cannot make the
 configuration revert.
 """
 
@@ -21,20 +21,20 @@
 from .wire import DocPull, DocPush
 
 FANOUT: Final = 3
-PULL_EVERY_S: Final = 5.0
-PULL_EMPTY_S: Final = 1.0
+PULL_INTERVAL_S: Final = 5.0
+EMPTY_PULL_INTERVAL_S: Final = 1.0
 WATCHERS_PER_DOMAIN: Final = 1
 
 
-class Doc(NamedTuple):
-    """A document as this process holds it."""
+class Document(NamedTuple):
+    """A document as stored in this process."""
 
     revision: int
     value: bytes
 
 
 class Docs:
-    """The documents one process holds, and who is told of new ones.
+    """The documents stored in this process and their exchange with peers.
 
     Parameters
     ----------
@@ -43,7 +43,7 @@
     """
 
     def __init__(self, me: str) -> None:
-        self.held: dict[str, Doc] = {}
+        self.stored: dict[str, Document] = {}
         self.refused = 0
         self._me = me
         self._instances: tuple[Instance, ...] = ()
@@ -52,11 +52,11 @@
         self._rounds = 0
 
     def revisions(self) -> dict[str, int]:
-        """Revision held of each document."""
-        return {key: doc.revision for key, doc in self.held.items()}
+        """Return the stored revision of each document."""
+        return {key: doc.revision for key, doc in self.stored.items()}
 
     def set_instances(self, instances: tuple[Instance, ...]) -> list[Effect]:
-        """Take the instance list; start or stop watching as it says."""
+        """Store the instance list; start or stop watching the key-value service."""
         self._instances = instances
         watching = self._is_watcher()
         if watching == self._watching:
@@ -76,50 +76,52 @@
                 return True
         return False
 
-    def offer(self, key: str, revision: int, value: bytes) -> bool:
-        """Take a document if it is newer than the one held."""
-        held = self.held.get(key)
-        if held is not None and revision <= held.revision:
-            if revision < held.revision:
+    def store_if_newer(self, key: str, revision: int, value: bytes) -> bool:
+        """Store a document if it is newer than the stored one."""
+        stored = self.stored.get(key)
+        if stored is not None and revision <= stored.revision:
+            if revision < stored.revision:
                 self.refused += 1
             return False
         if revision <= 0:
             return False
-        self.held[key] = Doc(revision, value)
+        self.stored[key] = Document(revision, value)
         return True
 
-    def spread(self, key: str) -> list[Effect]:
-        """Pass a document that has just become newer on to a few peers."""
-        doc = self.held[key]
+    def push(self, key: str) -> list[Effect]:
+        """Push a newly stored document to a few peers."""
+        doc = self.stored[key]
         message = DocPush(key, doc.revision, doc.value)
-        return [Send(peer, message) for peer in self._some_peers(key, FANOUT)]
+        return [Send(peer, message) for peer in self._pick_peers(key, FANOUT)]
 
     def on_pull(self, sender: str, pull: DocPull) -> list[Effect]:
-        """Answer with the documents that the asker lacks."""
+        """Push the documents of which the sender has no or an older revision."""
         effects: list[Effect] = []
-        for key, doc in self.held.items():
+        for key, doc in self.stored.items():
             if pull.revisions.get(key, 0) < doc.revision:
                 effects.append(Send(sender, DocPush(key, doc.revision, doc.value)))
         return effects
 
-    def compare(self, sender: str, revisions: dict[str, int]) -> list[Effect]:
-        """Pull from a peer whose heartbeat shows something newer."""
+    def pull_if_older(self, sender: str, revisions: dict[str, int]) -> list[Effect]:
+        """Pull from a peer that has a newer revision of any document."""
         for key, revision in revisions.items():
-            held = self.held.get(key)
-            if held is None or held.revision < revision:
+            stored = self.stored.get(key)
+            if stored is None or stored.revision < revision:
                 return [Send(sender, DocPull(self.revisions()))]
         return []
 
     def tick(self, now: float) -> list[Effect]:
-        """Ask a random peer now and then; this also serves a fresh process."""
+        """Pull from a random peer periodically; this also fills a new process."""
         if now < self._next_pull:
             return []
-        # A process that has just started knows nothing and asks more often.
-        self._next_pull = now + (PULL_EVERY_S if self.held else PULL_EMPTY_S)
+        # A process that has just started has no documents and pulls more often.
+        self._next_pull = now + (
+            PULL_INTERVAL_S if self.stored else EMPTY_PULL_INTERVAL_S
+        )
         pull = DocPull(self.revisions())
-        return [Send(peer, pull) for peer in self._some_peers("pull", 1)]
+        return [Send(peer, pull) for peer in self._pick_peers("pull", 1)]
 
-    def _some_peers(self, purpose: str, count: int) -> list[str]:
+    def _pick_peers(self, purpose: str, count: int) -> list[str]:
         self._rounds += 1
         others = [i.address for i in self._instances if i.address != self._me]
         if len(others) <= count:
--- a/wisteriastair/core/entry.py
+++ b/wisteriastair/core/entry.py
@@ -1,13 +1,13 @@
-"""The entry: between callers and carriers.
+"""The entry: forwards requests of callers to primaries.
 
-An entry keeps nothing that must last.  It knows the slot table and repeats what its
-callers wait for: to the carrier of the slot, and after a takeover to the next one.
-Starting and attaching are idempotent, so repeating them is safe; the position up to
-which the caller has the output travels with the request, so nothing reaches the
-caller twice or out of order, whatever is lost or crossed on the way.
+An entry has no durable state.  It has the slot table and repeats each pending request
+to the primary of the slot, and after a takeover to the new primary.  Start and attach
+are idempotent, so repeating them is safe.  A request contains the position up to which
+the caller has received the output, so the caller receives nothing twice or out of
+order, even if messages are lost or reordered.
 
-A request that the entry gives up gets its final answer at once: what is known about
-whether it ran, and when to come back.
+A request that the entry gives up gets a final answer: whether it may have run, and
+when to retry.
 """
 
 from __future__ import annotations
@@ -37,11 +37,11 @@
     ProgramText,
 )
 
-REPEAT_S: Final = 1.0
-RENEW_S: Final = 3.0
-PATIENCE_S: Final = 20.0
-LIST_WAIT_S: Final = 0.7
-COME_BACK_S: Final = 2.0
+REPEAT_INTERVAL_S: Final = 1.0
+RENEWAL_INTERVAL_S: Final = 3.0
+DEFAULT_PATIENCE_S: Final = 20.0
+LISTING_TIMEOUT_S: Final = 0.7
+RETRY_AFTER_S: Final = 2.0
 
 
 class EntryOptions(NamedTuple):
@@ -51,11 +51,11 @@
     domain: str
     slots: int = 64
     segments: int = 4
-    patience_s: float = PATIENCE_S
+    patience_s: float = DEFAULT_PATIENCE_S
 
 
 class RequestSpec(NamedTuple):
-    """What a caller asks for.
+    """The content of a request of a caller.
 
     Attributes
     ----------
@@ -64,7 +64,7 @@
     key, program : str
         The idempotency key of a start, or the id of an existing program.
     number, offset : int
-        Position from which output is wanted.
+        Position in the output from which to send.
     """
 
     kind: str
@@ -91,7 +91,7 @@
 
 
 class Accepted(NamedTuple):
-    """The program is under way."""
+    """The program has been accepted and is running."""
 
     program: str
 
@@ -112,7 +112,7 @@
 class ProgramRows(NamedTuple):
     """The operators' listing of programs; the last event of a request.
 
-    ``missing`` counts carriers that did not answer in time.
+    ``missing`` counts primaries that did not answer in time.
     """
 
     rows: tuple[ProgramRow, ...]
@@ -123,14 +123,14 @@
 
 
 class DeliverToCaller(NamedTuple):
-    """Hand an event to the caller of a request."""
+    """Deliver an event to the caller of a request."""
 
     request: str
     event: CallerEvent
 
 
 class _Request:
-    """A caller's request while it waits."""
+    """State of a pending request of a caller."""
 
     def __init__(self, spec: RequestSpec, program: str, slot: int, now: float) -> None:
         self.spec = spec
@@ -140,17 +140,17 @@
         self.offset = spec.offset
         self.accepted = False
         self.sent = False
-        self.heard_at = now
+        self.last_heard_at = now
         self.repeat_at = now
         self.primary = ""
 
 
 class _Listing:
-    """A listing of programs that is being gathered."""
+    """State of a listing of programs while replies are pending."""
 
-    def __init__(self, waiting: int, until: float) -> None:
-        self.waiting = waiting
-        self.until = until
+    def __init__(self, pending_replies: int, deadline: float) -> None:
+        self.pending_replies = pending_replies
+        self.deadline = deadline
         self.rows: list[ProgramRow] = []
 
 
@@ -169,7 +169,7 @@
 
     @property
     def waiting(self) -> int:
-        """Requests that wait for an outcome."""
+        """Number of requests that wait for an outcome."""
         return len(self._requests)
 
     # Callers
@@ -177,33 +177,35 @@
     def submit(
         self, request: str, spec: RequestSpec, now: float
     ) -> list[Effect | DeliverToCaller]:
-        """Take a caller's request."""
+        """Accept a request of a caller and send it to the primary."""
         program = spec.program or program_id(spec.customer, spec.key)
         slot = slot_of(program, self._cfg.slots)
         self._requests[request] = _Request(spec, program, slot, now)
-        return self._push(request, now)
+        return self._send_request(request, now)
 
     def drop_request(self, request: str) -> None:
-        """Forget a request whose caller has gone; its program goes on."""
+        """Drop a request whose caller has disconnected; its program continues."""
         self._requests.pop(request, None)
 
     def list_programs(
         self, request: str, customer: str, limit: int, now: float
     ) -> list[Effect | DeliverToCaller]:
-        """Ask all carriers for their programs."""
+        """Request the programs of all primaries."""
         sides = sorted(
             {address_of(row.primary) for row in self.placement.rows.values()}
         )
         if not sides:
             return [DeliverToCaller(request, ProgramRows((), 0))]
-        self._listings[request] = _Listing(len(sides), now + LIST_WAIT_S)
-        question = ListPrograms(request, customer, limit)
-        return [Send(side, question) for side in sides]
+        self._listings[request] = _Listing(len(sides), now + LISTING_TIMEOUT_S)
+        query = ListPrograms(request, customer, limit)
+        return [Send(side, query) for side in sides]
 
-    def _push(self, request: str, now: float) -> list[Effect | DeliverToCaller]:
-        """Send a request to the carrier of its slot, if there is one."""
+    def _send_request(self, request: str, now: float) -> list[Effect | DeliverToCaller]:
+        """Send a request to the primary of its slot, if the slot is placed."""
         state = self._requests[request]
-        state.repeat_at = now + (RENEW_S if state.accepted else REPEAT_S)
+        state.repeat_at = now + (
+            RENEWAL_INTERVAL_S if state.accepted else REPEAT_INTERVAL_S
+        )
         row = self.placement.rows.get(state.slot)
         if row is None:
             return []
@@ -244,7 +246,7 @@
     def receive(
         self, sender: str, message: Message, now: float
     ) -> list[Effect | DeliverToCaller]:
-        """Take a message from another process."""
+        """Handle a message from another process."""
         match message:
             case ProgramText():
                 return self._on_text(message, now)
@@ -253,44 +255,48 @@
             case ProgramOutcome():
                 return self._on_outcome(message)
             case NotPrimary(request, _):
-                return self._on_moved(sender, request, now)
+                return self._on_not_primary(sender, request, now)
             case ProgramList(request, rows):
                 return self._on_rows(request, rows)
             case DocPush(key, revision, value):
-                return self.take_doc(key, revision, value)
+                return self.accept_doc(key, revision, value)
             case DocPull():
                 effects: list[Effect | DeliverToCaller] = []
                 effects += self.docs.on_pull(sender, message)
-                effects += self.docs.compare(sender, message.revisions)
+                effects += self.docs.pull_if_older(sender, message.revisions)
                 return effects
             case Heartbeat(reply=True):
-                beat = Heartbeat(
+                heartbeat = Heartbeat(
                     self._cfg.domain, False, 0, 0, self.docs.revisions(), False
                 )
-                return [Send(sender, beat)]
+                return [Send(sender, heartbeat)]
             case _:
                 return []
 
     def _on_text(
         self, message: ProgramText, now: float
     ) -> list[Effect | DeliverToCaller]:
-        """Pass on what the caller does not have yet; drop what is late."""
+        """Deliver output that the caller does not have yet; drop late output."""
         state = self._requests.get(message.request)
         if state is None or state.program != message.program:
             return []
-        state.heard_at = now
+        state.last_heard_at = now
         if message.number < state.number:
             return []
-        have = state.offset if message.number == state.number else 0
-        if message.offset > have:
-            # Something before it was lost; asking again from our position mends it.
-            return self._push(message.request, now)
-        new = message.text[have - message.offset :]
+        received_chars = state.offset if message.number == state.number else 0
+        if message.offset > received_chars:
+            # Earlier output was lost; a repeated request gets it from this position.
+            return self._send_request(message.request, now)
+        new = message.text[received_chars - message.offset :]
         if not new:
             return []
         state.number = message.number
-        state.offset = have + len(new)
-        return [DeliverToCaller(message.request, OutputText(message.number, have, new))]
+        state.offset = received_chars + len(new)
+        return [
+            DeliverToCaller(
+                message.request, OutputText(message.number, received_chars, new)
+            )
+        ]
 
     def _on_pending(
         self, request: str, program: str, now: float
@@ -298,7 +304,7 @@
         state = self._requests.get(request)
         if state is None:
             return []
-        state.heard_at = now
+        state.last_heard_at = now
         if state.accepted:
             return []
         state.accepted = True
@@ -311,13 +317,13 @@
         del self._requests[outcome.request]
         return [DeliverToCaller(outcome.request, Done(outcome))]
 
-    def _on_moved(
+    def _on_not_primary(
         self, sender: str, request: str, now: float
     ) -> list[Effect | DeliverToCaller]:
-        """Ask whoever does not carry the slot for its newer table."""
+        """Pull the slot table from the sender and repeat the request soon."""
         state = self._requests.get(request)
         if state is not None:
-            state.repeat_at = min(state.repeat_at, now + REPEAT_S / 4)
+            state.repeat_at = min(state.repeat_at, now + REPEAT_INTERVAL_S / 4)
         return [Send(sender, DocPull(self.docs.revisions()))]
 
     def _on_rows(
@@ -327,32 +333,32 @@
         if listing is None:
             return []
         listing.rows += rows
-        listing.waiting -= 1
-        return self._end_listing(request) if listing.waiting == 0 else []
+        listing.pending_replies -= 1
+        return self._end_listing(request) if listing.pending_replies == 0 else []
 
     def _end_listing(self, request: str) -> list[Effect | DeliverToCaller]:
         listing = self._listings.pop(request)
         rows = tuple(sorted(listing.rows))
-        return [DeliverToCaller(request, ProgramRows(rows, listing.waiting))]
+        return [DeliverToCaller(request, ProgramRows(rows, listing.pending_replies))]
 
     # Documents
 
     def set_instances(self, instances: tuple[Instance, ...]) -> list[Effect]:
-        """Take the instance list."""
+        """Store the instance list."""
         self.instances = instances
         return self.docs.set_instances(instances)
 
     def on_kv(self, event: KvValue | KvWritten) -> list[Effect | DeliverToCaller]:
-        """Take a document that this entry read or wrote itself."""
-        return self.take_doc(event.key, event.revision, event.value)
+        """Store a document that this entry read or wrote itself."""
+        return self.accept_doc(event.key, event.revision, event.value)
 
-    def take_doc(
+    def accept_doc(
         self, key: str, revision: int, value: bytes
     ) -> list[Effect | DeliverToCaller]:
-        """Take a document and pass it on if it is news."""
-        if not self.docs.offer(key, revision, value):
+        """Store and push a document if it is newer than the stored one."""
+        if not self.docs.store_if_newer(key, revision, value):
             return []
-        effects: list[Effect | DeliverToCaller] = [*self.docs.spread(key)]
+        effects: list[Effect | DeliverToCaller] = [*self.docs.push(key)]
         if key == CONFIG_KEY:
             self.config = decode_config(value)
             self.revision = revision
@@ -366,25 +372,25 @@
     # Time
 
     def tick(self, now: float) -> list[Effect | DeliverToCaller]:
-        """Repeat, renew, give up."""
+        """Repeat pending requests and give up those that have timed out."""
         effects: list[Effect | DeliverToCaller] = [*self.docs.tick(now)]
         for request in list(self._requests):
             state = self._requests[request]
-            if now - state.heard_at > self._cfg.patience_s:
+            if now - state.last_heard_at > self._cfg.patience_s:
                 effects.append(self._give_up(request))
             elif now >= state.repeat_at:
-                effects += self._push(request, now)
+                effects += self._send_request(request, now)
         for request in list(self._listings):
-            if now >= self._listings[request].until:
+            if now >= self._listings[request].deadline:
                 effects += self._end_listing(request)
         return effects
 
     def _give_up(self, request: str) -> DeliverToCaller:
         state = self._requests.pop(request)
         if not state.sent:
-            detail = "no process carries this slot now"
-            failure = Failure(Code.NO_PRIMARY, detail, "no", COME_BACK_S)
+            detail = "this slot has no known primary"
+            failure = Failure(Code.NO_PRIMARY, detail, "no", RETRY_AFTER_S)
         else:
-            detail = "no answer from the carrier; ask again with the same key"
-            failure = Failure(Code.TIMED_OUT, detail, "unknown", COME_BACK_S)
+            detail = "no answer from the primary; retry with the same key"
+            failure = Failure(Code.TIMED_OUT, detail, "unknown", RETRY_AFTER_S)
         return DeliverToCaller(request, Refused(state.program, failure))
--- a/wisteriastair/core/events.py
+++ b/wisteriastair/core/events.py
@@ -1,7 +1,7 @@
-"""What a shell hands to the core, and what the core asks of its shell.
+"""Events that a shell delivers to the core, and effects that the core returns.
 
 Events and effects are plain data.  A shell delivers one event at a time together
-with the time in seconds, and carries out the effects in their order.
+with the time in seconds, and carries out the returned effects in order.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Tick(NamedTuple):
-    """Time has passed."""
+    """A periodic event on which the core checks its timers."""
 
 
 class Received(NamedTuple):
@@ -24,7 +24,7 @@
 
 
 class Instance(NamedTuple):
-    """One row of the platform's instance list."""
+    """One row of the instance list of the platform."""
 
     name: str
     role: str
@@ -35,13 +35,13 @@
 
 
 class InstancesSeen(NamedTuple):
-    """The instance list as the platform gave it."""
+    """The instance list as read from the platform."""
 
     instances: tuple[Instance, ...]
 
 
 class KvValue(NamedTuple):
-    """A key as the key-value service holds it; revision 0 means absent."""
+    """The stored value of a key in the key-value service; revision 0 means absent."""
 
     key: str
     revision: int
@@ -49,7 +49,7 @@
 
 
 class KvWritten(NamedTuple):
-    """A compare-and-swap that took effect, confirmed by the service."""
+    """A compare-and-swap that the key-value service confirmed."""
 
     key: str
     revision: int
@@ -57,13 +57,13 @@
 
 
 class KvConflict(NamedTuple):
-    """A compare-and-swap that certainly did not take effect."""
+    """A compare-and-swap that was rejected and so did not take effect."""
 
     key: str
 
 
 class KvUnknown(NamedTuple):
-    """No answer: a read failed, or a write may or may not have taken effect."""
+    """No answer: a read failed, or a write may have taken effect."""
 
     key: str
     wrote: bool
@@ -77,7 +77,7 @@
 
 
 class BackendEnded(NamedTuple):
-    """The end of a backend call, as the adapter saw it."""
+    """The end of a backend call, as reported by the adapter."""
 
     call: CallId
     status: str
@@ -90,14 +90,14 @@
 
 
 class BackendCacheReport(NamedTuple):
-    """Programs for which a model engine reports that it holds memory."""
+    """Programs for which a model engine reports that it has cached memory."""
 
     server: str
     programs: tuple[str, ...]
 
 
 class StopRequested(NamedTuple):
-    """Begin a planned stop of this process."""
+    """Start a planned stop of this process."""
 
 
 Event = (
@@ -156,7 +156,7 @@
 
 
 class BackendRelease(NamedTuple):
-    """Have a model engine drop what it holds for programs."""
+    """Release the cached memory of programs in a model engine."""
 
     server: str
     programs: tuple[str, ...]
@@ -167,16 +167,16 @@
 
 
 class LogMessage(NamedTuple):
-    """Something an operator may want to read in the log.
+    """A line for the operators' log.
 
     Attributes
     ----------
     level : str
         ``info`` or ``warning``.
     text : str
-        What happened, in one line.
+        One line of text.
     program : str
-        The program concerned, if any.
+        Program that the line is about, if any.
     """
 
     level: str
--- a/wisteriastair/core/outbox.py
+++ b/wisteriastair/core/outbox.py
@@ -1,4 +1,4 @@
-"""The effects of one step, gathered from all parts of the core."""
+"""The effects of one step, collected from all components of the core."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Outbox:
-    """Collects effects in the order in which they were caused."""
+    """Collects effects in the order in which they are added."""
 
     def __init__(self) -> None:
         self._effects: list[Effect] = []
@@ -24,12 +24,12 @@
         """Add a message to another process."""
         self._effects.append(Send(to, message))
 
-    def note(self, text: str, *, level: str = "info", program: str = "") -> None:
+    def log(self, text: str, *, level: str = "info", program: str = "") -> None:
         """Add a line for the log."""
         self._effects.append(LogMessage(level, text, program))
 
     def drain(self) -> list[Effect]:
-        """Take all effects gathered so far."""
+        """Return all collected effects and clear the outbox."""
         effects = self._effects
         self._effects = []
         return effects
--- a/wisteriastair/core/primary.py
+++ b/wisteriastair/core/primary.py
@@ -1,10 +1,10 @@
-"""The carrier: runs the programs of the slots that this process carries.
+"""Runs the programs of the slots whose primary is this process.
 
-Every decision becomes a record, and a record takes effect when the standby has it:
-an intent before the call is dispatched, text before a caller sees it, an end before
-the next call.  After a takeover the successor folds the records and asks the gates
-about the calls that were under way; it never repeats one that may have run and must
-not run twice.
+Every decision becomes a record, and a record takes effect once the standby has stored
+it: an intent before the call is dispatched, text before a caller sees it, the end of a
+call before the next call.  After a takeover the new primary folds the records and asks
+the gates for the state of the open calls.  It never repeats a call that may have run
+and is not repeatable.
 """
 
 from __future__ import annotations
@@ -39,12 +39,12 @@
 from .slots import SlotListener
 from .wire import Entry
 
-RENEW_S: Final = 4.0
-RETAIN_S: Final = 600.0
+LEASE_RENEWAL_S: Final = 4.0
+ENDED_RETENTION_S: Final = 600.0
 
 
 class Primary(SlotListener):
-    """Programs of the slots carried here.
+    """Runs the programs of the slots whose primary is this process.
 
     Parameters
     ----------
@@ -53,7 +53,7 @@
     calls : Calls
         Makes their calls.
     out : Outbox
-        Where effects go.
+        Receives the effects.
     """
 
     def __init__(self, programs: RunningPrograms, calls: Calls, out: Outbox) -> None:
@@ -62,13 +62,15 @@
         self._programs = programs
         self._calls = calls
         self._out = out
-        self._kept: deque[tuple[float, str]] = deque()
+        self._retained: deque[tuple[float, str]] = deque()
         self._renew_at = 0.0
 
     # Slots
 
-    def opened(self, slot: int, programs: dict[str, list[Entry]], lost: bool) -> None:
-        """Rebuild the programs of a slot and go on with them."""
+    def on_opened(
+        self, slot: int, programs: dict[str, list[Entry]], lost: bool
+    ) -> None:
+        """Rebuild the programs of a slot from their log and resume them."""
         if lost:
             self.slots_with_lost_log.add(slot)
         opened = []
@@ -78,34 +80,34 @@
             run = self._rebuild(slot, entries)
             self._programs.by_name[name] = run
             opened.append(run)
-            self._note_state(name, run)
+            self._track_state(name, run)
         for run in opened:
-            self._go_on(run)
+            self._resume(run)
 
     def _rebuild(self, slot: int, entries: list[Entry]) -> RunningProgram:
         start = decode_record(entries[0].body)
-        assert isinstance(start, ProgramStarted), "a program's log begins so"
+        assert isinstance(start, ProgramStarted), "a log starts with ProgramStarted"
         program = Program(start)
         for entry in entries[1:]:
             program.apply(decode_record(entry.body))
         run = RunningProgram(program, slot)
-        run.heard_at = self._programs.now
+        run.last_heard_at = self._programs.now
         return run
 
-    def _note_state(self, name: str, run: RunningProgram) -> None:
-        """Sort a program under the living or under those kept for late askers."""
+    def _track_state(self, name: str, run: RunningProgram) -> None:
+        """List a program as live or, if it has ended, as retained for late callers."""
         ended = run.program.ended
         if ended is None:
             self._programs.live[name] = None
         else:
             self._programs.live.pop(name, None)
-            self._kept.append((ended.ended_at, name))
+            self._retained.append((ended.ended_at, name))
 
-    def _go_on(self, run: RunningProgram) -> None:
-        """Resume after a takeover: look the open call up, mend half-done steps."""
+    def _resume(self, run: RunningProgram) -> None:
+        """Resume after a takeover: look up the open call, complete a partial step."""
         program = run.program
         for child in program.active_children():
-            step = program.child_start(child)
+            step = program.child_start_step(child)
             if child not in self._programs.by_name and step is not None:
                 self._programs.append(
                     run, self._child_record(run, step), new_program=True
@@ -114,17 +116,17 @@
             self._report_to_parent(run)
         if program.call is not None and program.ended is None:
             self._calls.look_up(run, program.call)
-        self._decide(run)
+        self._take_next_step(run)
 
-    def closed(self, slot: int) -> None:
-        """Drop the programs of a slot that another process carries now."""
+    def on_closed(self, slot: int) -> None:
+        """Drop the programs of a slot that has another primary."""
         self.slots_with_lost_log.discard(slot)
         for name in [n for n, r in self._programs.by_name.items() if r.slot == slot]:
             del self._programs.by_name[name]
             self._programs.live.pop(name, None)
 
-    def committed(self, slot: int, record: Record) -> None:
-        """Let a record take effect."""
+    def on_committed(self, slot: int, record: Record) -> None:
+        """Apply a committed record and carry out its effects."""
         if isinstance(record, ProgramStarted):
             self._start_committed(slot, record)
             return
@@ -139,17 +141,17 @@
         match record:
             case CallIntended():
                 run.ending = False
-                run.text_length = len(program.partial)
+                run.text_length = len(program.partial_text)
                 self._calls.dispatch(run, record)
             case CallEnded():
                 run.ending = False
-                self._calls.forget(call)
+                self._calls.discard_result(call)
             case ProgramEnded():
                 self._end_committed(run, call, children)
             case _:
                 pass
         run.deliver(self._out)
-        self._decide(run)
+        self._take_next_step(run)
 
     def start(self, run: RunningProgram) -> None:
         """Append the first record of a new program."""
@@ -159,7 +161,7 @@
         self._programs.append(run, start, new_program=True)
 
     def end(self, run: RunningProgram, step: EndStep) -> None:
-        """End a program from outside; its open call is cancelled."""
+        """End a program at an external request; its open call is cancelled."""
         if run.program.ended is None and not run.ending:
             self._end(run, step)
 
@@ -171,24 +173,24 @@
             run.trace = parent.trace if parent is not None else ""
             self._programs.by_name[record.program] = run
         run.uncommitted = 0
-        self._note_state(record.program, run)
+        self._track_state(record.program, run)
         for request in run.subscribers:
             self._out.send(
                 run.subscribers[request].reply_to, run.pending_message(request)
             )
-        self._decide(run)
+        self._take_next_step(run)
 
     def _end_committed(
         self, run: RunningProgram, call: CallIntended | None, children: list[str]
     ) -> None:
-        """Release everything a program held."""
+        """Release the resources of an ended program and end its sub-agents."""
         program = run.program
-        self._note_state(program.start.program, run)
+        self._track_state(program.start.program, run)
         self.finished_count += 1
         if call is not None:
             self._calls.cancel(call)
         for server in sorted(program.servers):
-            self._calls.release(server, program.start.program)
+            self._calls.release_cache(server, program.start.program)
         for name in children:
             child = self._programs.by_name.get(name)
             if child is not None and child.program.ended is None:
@@ -210,8 +212,8 @@
 
     # Steps
 
-    def _decide(self, run: RunningProgram) -> None:
-        """Take the next step of a program, if nothing of it is under way."""
+    def _take_next_step(self, run: RunningProgram) -> None:
+        """Take the next step of a program unless it has uncommitted records."""
         if run.uncommitted or not self._programs.may_append(run):
             return
         step = run.program.next_step(self._programs.now)
@@ -221,15 +223,15 @@
             case ChildStep():
                 self._start_child(run, step)
             case ModelStep() if self._programs.now >= run.not_before:
-                self._calls.intend_model(run, step)
+                self._calls.append_model_intent(run, step)
             case ToolStep() if self._programs.now >= run.not_before:
-                self._calls.intend_tool(run, step)
+                self._calls.append_tool_intent(run, step)
             case Wait() | ModelStep() | ToolStep():
                 pass
 
     def _end(self, run: RunningProgram, step: EndStep) -> None:
         name = run.program.start.program
-        # Results that arrive from here on must not be appended behind the end.
+        # Results that arrive from now on must not be appended after the end.
         run.ending = True
         record = ProgramEnded(
             name, step.status, step.answer, step.detail, self._programs.now
@@ -259,33 +261,36 @@
     # Time
 
     def tick(self) -> None:
-        """Look up silent calls, renew holds, drop what has been kept long enough."""
+        """Check open calls, renew cache leases, drop expired programs."""
         for run in [self._programs.by_name[name] for name in self._programs.live]:
             run.expire_subscribers(self._programs.now)
             program = run.program
             if program.call is not None and not run.ending:
-                self._calls.watch(run, program.call)
+                self._calls.check_progress(run, program.call)
             if run.uncommitted == 0:
-                self._decide(run)
-        self._drop_old()
+                self._take_next_step(run)
+        self._drop_expired()
         if self._programs.now >= self._renew_at:
-            self._renew_at = self._programs.now + RENEW_S
-            self._calls.renew_holds()
+            self._renew_at = self._programs.now + LEASE_RENEWAL_S
+            self._calls.renew_leases()
 
-    def _drop_old(self) -> None:
-        """Drop ended programs that have been kept long enough, the oldest first."""
-        while self._kept and self._programs.now - self._kept[0][0] >= RETAIN_S:
-            _, name = self._kept[0]
+    def _drop_expired(self) -> None:
+        """Drop ended programs after their retention time, the oldest first."""
+        while (
+            self._retained
+            and self._programs.now - self._retained[0][0] >= ENDED_RETENTION_S
+        ):
+            _, name = self._retained[0]
             run = self._programs.by_name.get(name)
             if run is not None and run.program.ended is not None:
                 if not self._programs.may_append(run):
                     return
-                self._programs.forget(run)
-            self._kept.popleft()
+                self._programs.drop(run)
+            self._retained.popleft()
 
 
 def new_limits(service: Service, budget: int) -> Limits:
-    """Limits of a new program; a budget of 0 asks for the service's own."""
+    """Limits of a new program; a budget of 0 means the default of the service."""
     return Limits(
         budget or service.budget,
         service.max_turns,
--- a/wisteriastair/core/program.py
+++ b/wisteriastair/core/program.py
@@ -1,11 +1,11 @@
-"""One program: the fold of its records, and what it should do next.
+"""One program: the fold of its records, and its next step.
 
 A program is a chain of calls.  A model call ends with an answer, or with actions:
 tool calls, which run one after another in the order given, and sub-agents, which run
-beside them.  When all actions of a turn have their results, the next model call
+concurrently.  When all actions of a turn have their results, the next model call
 follows.  `Program.next_step` derives the next step from the committed records alone,
-so a successor that rebuilds the program from its log goes on exactly where the log
-ends.
+so a new primary that rebuilds the program from its log continues exactly where the
+log ends.
 """
 
 from __future__ import annotations
@@ -29,21 +29,21 @@
 
 SPAWN: Final = "spawn"
 MAX_ATTEMPTS: Final = 6
-# A hanging tool may use up its time limit so often in one step.
-TOOL_TIMES: Final = 2
+# A tool step fails after this many times its time limit without a result.
+MAX_TOOL_TIMEOUTS: Final = 2
 # A chat template adds a few tokens around each message.
 MESSAGE_OVERHEAD_TOKENS: Final = 8
 
 
 class ChatMessage(NamedTuple):
-    """One message of the history, as the engine is sent it."""
+    """One message of the history, as sent to the engine."""
 
     role: str
     content: str
 
 
-class Turn(NamedTuple):
-    """One action of the current turn with what has become of it."""
+class ActionState(NamedTuple):
+    """One action of the current turn with its sub-agent and its result."""
 
     action: Action
     child: str
@@ -51,7 +51,7 @@
 
 
 class Wait(NamedTuple):
-    """Nothing to do until a call or a child ends."""
+    """Wait until a call or a sub-agent ends."""
 
 
 class ModelStep(NamedTuple):
@@ -106,44 +106,46 @@
         self.servers: set[str] = set()
         self.last_server = ""
         self.context_tokens = 0
-        self.call_base = 0
-        self._partial = ""
-        self._actions: list[Turn] = []
+        self.call_text_offset = 0
+        self._partial_text = ""
+        self._actions: list[ActionState] = []
         self._answer: str | None = None
-        self._step_began = 0.0
+        self._step_started_at = 0.0
         self._number = 1
         self._attempt = 1
         self._failure: EndStep | None = None
-        self._carved: dict[str, int] = {}
+        self._child_budgets: dict[str, int] = {}
         if started.plain is not None:
-            self._actions = [Turn(started.plain, "", None)]
+            self._actions = [ActionState(started.plain, "", None)]
         self._unsent_bytes = len(started.prompt.encode()) + MESSAGE_OVERHEAD_TOKENS
 
     @property
     def reserved(self) -> int:
-        """Tokens set aside for the open call and living children."""
+        """Tokens reserved for the open call and for active sub-agents."""
         open_call = self.call.reserved if self.call is not None else 0
-        return open_call + sum(self._carved.values())
+        return open_call + sum(self._child_budgets.values())
 
     @property
-    def partial(self) -> str:
+    def partial_text(self) -> str:
         """Committed output of the open or interrupted model call."""
-        return self._partial
+        return self._partial_text
 
-    def remaining(self) -> int:
-        """Tokens that may still be promised to anyone."""
+    def remaining_tokens(self) -> int:
+        """Tokens of the budget that are neither spent nor reserved."""
         return self.start.limits.budget - self.spent - self.reserved
 
     def active_children(self) -> list[str]:
         """Sub-agents that have not ended."""
-        return list(self._carved)
-
-    def child_start(self, child: str) -> ChildStep | None:
-        """How a child was started, to start it again after a takeover."""
-        for index, turn in enumerate(self._actions):
-            if turn.child == child:
-                prompt = turn.action.argument
-                return ChildStep(index, child, prompt, self._carved.get(child, 0))
+        return list(self._child_budgets)
+
+    def child_start_step(self, child: str) -> ChildStep | None:
+        """Return the step that started a sub-agent, to repeat it after a takeover."""
+        for index, state in enumerate(self._actions):
+            if state.child == child:
+                prompt = state.action.argument
+                return ChildStep(
+                    index, child, prompt, self._child_budgets.get(child, 0)
+                )
         return None
 
     # Records
@@ -153,25 +155,25 @@
         match record:
             case CallIntended():
                 self.call = record
-                self.call_base = len(self._partial)
+                self.call_text_offset = len(self._partial_text)
                 if record.attempt == 1:
-                    self._step_began = record.intended_at
+                    self._step_started_at = record.intended_at
                 if record.kind == "model":
                     self.servers.add(record.server)
             case TextAppended():
-                self._partial += record.text
+                self._partial_text += record.text
             case CallEnded():
                 self._end_call(record)
             case ChildStarted():
-                self._carved[record.child] = record.budget
-                turn = self._actions[record.position]
-                self._actions[record.position] = turn._replace(child=record.child)
+                self._child_budgets[record.child] = record.budget
+                state = self._actions[record.position]
+                self._actions[record.position] = state._replace(child=record.child)
             case ChildEnded():
                 self._end_child(record)
             case ProgramEnded():
                 self.ended = record
                 self.call = None
-                self._carved.clear()
+                self._child_budgets.clear()
             case ProgramStarted():
                 pass
 
@@ -189,12 +191,13 @@
                 self._set_result(self._next_tool_index(), record.text)
             return
         if record.ran != "no" and call.kind == "model":
-            # What the lost attempt used is not known, so its reservation is kept.
+            # The tokens used by the lost attempt are unknown, so its whole
+            # reservation counts as spent.
             self.spent += call.reserved
         self._attempt += 1
-        self._failure = self._fatal(call, record)
+        self._failure = self._fatal_failure(call, record)
 
-    def _fatal(self, call: CallIntended, record: CallEnded) -> EndStep | None:
+    def _fatal_failure(self, call: CallIntended, record: CallEnded) -> EndStep | None:
         if record.ran == "no":
             return None
         if not call.repeatable:
@@ -203,14 +206,17 @@
         code = Code.MODEL_FAILED if call.kind == "model" else Code.TOOL_FAILED
         if self._attempt > MAX_ATTEMPTS:
             return EndStep(code, "", f"{call.name} failed {MAX_ATTEMPTS} times")
-        taken = record.ended_at - self._step_began
-        if call.kind == "tool" and taken > TOOL_TIMES * self.start.limits.tool_s:
-            return EndStep(code, "", f"{call.name} gave no answer in {taken:.0f} s")
+        elapsed_s = record.ended_at - self._step_started_at
+        if (
+            call.kind == "tool"
+            and elapsed_s > MAX_TOOL_TIMEOUTS * self.start.limits.tool_s
+        ):
+            return EndStep(code, "", f"{call.name} gave no answer in {elapsed_s:.0f} s")
         return None
 
     def _finish_turn(self, call: CallIntended, record: CallEnded) -> None:
-        text = self._partial + record.text
-        self._partial = ""
+        text = self._partial_text + record.text
+        self._partial_text = ""
         self.turns += 1
         self.outputs[call.number] = text
         self.last_server = call.server
@@ -218,42 +224,42 @@
         self._unsent_bytes = MESSAGE_OVERHEAD_TOKENS
         self.history.append(ChatMessage("assistant", text))
         if record.actions:
-            self._actions = [Turn(action, "", None) for action in record.actions]
+            self._actions = [ActionState(action, "", None) for action in record.actions]
         else:
             self._answer = text
 
     def _end_child(self, record: ChildEnded) -> None:
-        self._carved.pop(record.child, None)
+        self._child_budgets.pop(record.child, None)
         self.spent += record.spent
-        for index, turn in enumerate(self._actions):
-            if turn.child == record.child:
+        for index, state in enumerate(self._actions):
+            if state.child == record.child:
                 self._set_result(index, record.answer)
                 return
 
     def _set_result(self, index: int, result: str) -> None:
         self._actions[index] = self._actions[index]._replace(result=result)
-        if any(turn.result is None for turn in self._actions):
+        if any(state.result is None for state in self._actions):
             return
         if self.start.plain is not None:
             self._answer = result
             self._actions = []
             return
-        for turn in self._actions:
-            text = f"{turn.action.name}: {turn.result}"
+        for state in self._actions:
+            text = f"{state.action.name}: {state.result}"
             self.history.append(ChatMessage("tool", text))
             self._unsent_bytes += len(text.encode()) + MESSAGE_OVERHEAD_TOKENS
         self._actions = []
 
     def _next_tool_index(self) -> int:
-        for index, turn in enumerate(self._actions):
-            if turn.result is None and turn.action.name != SPAWN:
+        for index, state in enumerate(self._actions):
+            if state.result is None and state.action.name != SPAWN:
                 return index
         return -1
 
     # Decisions
 
     def next_step(self, now: float) -> Step:
-        """Decide what the program should do now."""
+        """Decide the next step of the program."""
         if self.ended is not None:
             return Wait()
         if now - self.start.started_at >= self.start.limits.wall_s:
@@ -270,9 +276,9 @@
         return self._next_model_call()
 
     def _next_action(self) -> Step:
-        for index, turn in enumerate(self._actions):
-            if turn.action.name == SPAWN and not turn.child:
-                return self._child_step(index, turn.action)
+        for index, state in enumerate(self._actions):
+            if state.action.name == SPAWN and not state.child:
+                return self._child_step(index, state.action)
         index = self._next_tool_index()
         if index < 0:
             return Wait()
@@ -280,8 +286,8 @@
 
     def _child_step(self, index: int, action: Action) -> Step:
         spawns = [t for t in self._actions if t.action.name == SPAWN and not t.child]
-        # Equal shares for the sub-agents of this turn and for the program itself.
-        budget = self.remaining() // (len(spawns) + 1)
+        # Equal fractions for the sub-agents of this turn and the program itself.
+        budget = self.remaining_tokens() // (len(spawns) + 1)
         if budget < 1:
             return EndStep(Code.BUDGET, "", "no budget left for a sub-agent")
         child = f"{self.start.program}.{self._number}-{index}"
@@ -292,25 +298,29 @@
         if self.turns >= limits.max_turns:
             return EndStep(Code.TURNS, "", f"used all {limits.max_turns} model calls")
         bound = self.prompt_token_bound()
-        room = self.remaining() - bound
-        if room < 1:
+        available = self.remaining_tokens() - bound
+        if available < 1:
             detail = (
                 f"{self.spent} of {limits.budget} tokens used; next call needs more"
             )
             return EndStep(Code.BUDGET, "", detail)
-        max_tokens = min(limits.max_tokens, room)
-        return ModelStep(self._number, self._attempt, bound, max_tokens, self._partial)
+        max_tokens = min(limits.max_tokens, available)
+        return ModelStep(
+            self._number, self._attempt, bound, max_tokens, self._partial_text
+        )
 
     def prompt_token_bound(self) -> int:
         """Upper bound of the next prompt in tokens.
 
-        What the engine counted for the last call, and a token for each byte that has
-        come since: no tokenizer makes more.
+        The sum of the tokens that the engine counted for the last call and one token
+        for each byte added since, which no tokenizer exceeds.
         """
-        return self.context_tokens + self._unsent_bytes + len(self._partial.encode())
+        return (
+            self.context_tokens + self._unsent_bytes + len(self._partial_text.encode())
+        )
 
     def model_body(self, step_prefix: str) -> str:
-        """Messages for a model call, as JSON."""
+        """Messages of a model call, as JSON."""
         messages = [{"role": m.role, "content": m.content} for m in self.history]
         body = {"messages": messages, "prefix": step_prefix}
         return msgspec.json.encode(body).decode()
--- a/wisteriastair/core/records.py
+++ b/wisteriastair/core/records.py
@@ -1,10 +1,10 @@
 """The log records of a program and their codec.
 
-A program is the fold of its records.  A record is appended by the process that
-carries the program and takes effect only after the standby has acknowledged it,
-so two processes in two failure domains can rebuild the program at any time.  The
-standby stores the encoded bytes and decodes them only when it takes over, which
-keeps the cost of a copy to one append.
+A program is the fold of its records.  A record is appended by the primary of the
+program and takes effect only after the standby has acknowledged it, so two processes
+in two failure domains can rebuild the program at any time.  The standby stores the
+encoded bytes and decodes them only when it takes over, which limits the cost of a
+copy to one append.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 
 
 class Limits(NamedTuple):
-    """Bounds that end a program which would otherwise run for ever.
+    """Limits that end a program which would otherwise not terminate.
 
     Attributes
     ----------
     budget : int
-        Tokens (prompt and completion, over all calls) the program may use.
+        Maximum number of tokens (prompt and completion) of all calls.
     max_turns : int
-        Model calls the program may make.
+        Maximum number of model calls.
     max_tokens : int
-        Completion tokens of a single model call.
+        Maximum number of completion tokens of a single model call.
     wall_s : float
         Seconds from the start to the forced end.
     tool_s : float
-        Seconds a single tool call may take.
+        Maximum duration of a single tool call in seconds.
     """
 
     budget: int
@@ -41,7 +41,7 @@
 
 
 class Action(NamedTuple):
-    """A tool call or a sub-agent that a model call asked for."""
+    """A tool call or a sub-agent that a model call requested."""
 
     name: str
     argument: str
@@ -50,9 +50,9 @@
 class ProgramStarted(NamedTuple):
     """The first record of every program.
 
-    ``definition`` is the service as it was, for a program that outlives it.
-    ``plain`` is set for a caller's plain call, which runs as a program of a single
-    tool call so that the same rules keep it from running twice.
+    ``definition`` is the service at the time of the start, in case it is removed
+    before the program ends.  ``plain`` is set for a plain call of a caller, which runs
+    as a program of a single tool call so that the same rules prevent a second run.
     """
 
     program: str
@@ -69,8 +69,8 @@
 class CallIntended(NamedTuple):
     """A call is about to be dispatched.
 
-    Committed before the dispatch, so that a successor knows that the call may
-    have run and asks the gate before it does anything else.
+    Committed before the dispatch, so that after a takeover the new primary finds
+    that the call may have run and asks the gate before it takes another step.
     """
 
     program: str
@@ -87,7 +87,7 @@
 
 
 class TextAppended(NamedTuple):
-    """Output of a running model call that may be released to the caller."""
+    """Output of a running model call that may be sent to the caller."""
 
     program: str
     number: int
@@ -112,10 +112,10 @@
 
 
 class ChildStarted(NamedTuple):
-    """A sub-agent gets a part of its parent's budget.
+    """A sub-agent is started with a fraction of the budget of its parent.
 
-    Committed together with the child's own first record; if only this one survives
-    a takeover, the child is started from it.
+    Appended together with the first record of the sub-agent.  If only this record
+    survives a takeover, the sub-agent is started from it.
     """
 
     program: str
@@ -125,7 +125,7 @@
 
 
 class ChildEnded(NamedTuple):
-    """A sub-agent has ended; its unused budget returns to the parent."""
+    """A sub-agent has ended; its unused budget is returned to its parent."""
 
     program: str
     child: str
@@ -173,12 +173,11 @@
 
 
 def decode_record(data: bytes) -> Record:
-    """Decode what `encode_record` wrote.
+    """Decode the output of `encode_record`.
 
     Raises
     ------
     msgspec.DecodeError
-        If the bytes are not a record; the log is corrupt, which is a broken
-        invariant.
+        If the bytes are not a record, which means that the log is corrupt.
     """
     return _DECODERS[data[0]].decode(data[1:])
--- a/wisteriastair/core/replica.py
+++ b/wisteriastair/core/replica.py
@@ -1,39 +1,40 @@
-"""Who carries a slot and who holds its copy: the replication protocol.
+"""The replication protocol: primary, standby and changes of these roles.
 
-A slot of programs has a *carrier*, which runs the programs, and a *standby* in
-another failure domain, which holds a copy of the slot's log.  A row of the slot
+A slot of programs has a *primary*, which runs the programs, and a *standby* in
+another failure domain, which stores a copy of the log of the slot.  A row of the slot
 table in the key-value service names both, with an epoch.  The rules are:
 
 1. An entry is committed once the standby of the current epoch has acknowledged it.
-   Nothing that a caller or a backend server can see happens before that.
-2. A standby that suspects its carrier asks the key-value service, by
-   compare-and-swap, to be named carrier at the next epoch, with no standby.  It goes
-   on acknowledging until it sees that row: what it acknowledges it holds, and will
-   hold as carrier.
-3. A carrier that suspects its standby asks to be named alone at the next epoch.
-   The compare-and-swap lets one of the two win.
-4. A carrier without a standby commits nothing: its death would lose what it had
-   told others.
-5. The member that was left out by a row without a standby is named in it as the
-   *former* member and keeps its copy until a row names a standby.  It holds all that
-   was ever committed, since a lone carrier commits nothing; if the lone carrier dies,
-   the former member takes over.  Without this, a wrong suspicion followed by one
-   death would lose a log that another living process still has.
-6. A new copy is made first and named second.  A member that the table names before
-   it holds the log could take over without it.  (Counterexample of the broken
-   variant: append, acknowledge, name the new standby, kill the carrier, take over;
-   the entry is gone.)
-7. Between proposing a replacement for a live standby and learning the outcome, an
-   entry is committed only when both the old and the new copy hold it, because
-   either may turn out to be the named one.
-
-A carrier that was paused and wakes up commits only what its standby still takes as
-standby, and so will hold as carrier.  Split brain is excluded by the acknowledgement
-and not by a clock.
+   No effect that a caller or a backend server can observe happens before that.
+2. A standby that suspects its primary proposes, by compare-and-swap in the key-value
+   service, to become primary at the next epoch, without a standby.  It continues to
+   acknowledge entries until it sees that row: it has stored every entry that it
+   acknowledged, so it has them as primary.
+3. A primary that suspects its standby proposes to be alone at the next epoch.  Of the
+   two proposals, the compare-and-swap lets one succeed.
+4. A primary without a standby commits nothing: if it failed, entries whose effects
+   others have observed would be lost.
+5. A row without a standby names the member that it removed as the *former* member,
+   which retains its copy until a row names a standby.  The copy contains every
+   committed entry, since a primary without a standby commits nothing.  If this primary
+   fails, the former member takes over.  Without this rule, a wrong suspicion followed
+   by one failure would lose a log that a live process still has.
+6. A new copy is completed before the table names its member.  A member named before
+   it has the log could take over without the log.  (Counterexample of the broken
+   variant: append, acknowledge, name the new standby, kill the primary, take over;
+   the entry is lost.)
+7. Between the proposal to replace a live standby and its outcome, an entry is
+   committed only when both the old and the new standby have acknowledged it, because
+   the table may name either of them.
+
+A primary that resumes after a pause commits only entries that its standby still
+accepts as standby, and so will have if it becomes primary.  Split brain is excluded
+by these acknowledgements and not by a clock.
 
 Everything in this module is a pure function of immutable state, so that the model
-checker in ``tests/core/test_replica_model.py`` explores this very code.  Contents of
-entries are kept elsewhere (`slotlog`); here an entry is its position.
+checker in ``tests/core/test_replica_model.py`` explores the code that runs in
+production.  The contents of entries are stored in `slotlog`; here an entry is
+represented by its position.
 """
 
 from __future__ import annotations
@@ -45,7 +46,7 @@
 
 
 class Role(IntEnum):
-    """What a process is for one slot."""
+    """Role of a process for one slot."""
 
     NONE = 0
     LEARNER = 1
@@ -62,17 +63,17 @@
     slot : int
         Number of the slot.
     primary, standby : str
-        Member ids; an empty standby means that the carrier is alone.
+        Member ids; an empty standby means that the primary is alone.
     epoch : int
-        Grows by one with every change of the row.
+        Increases by one with every change of the row.
     fresh : bool
-        The members begin with an empty log: the slot was never placed before, or
-        all its members were lost.
+        Whether the members start with an empty log, because the slot was never placed
+        before or all its members failed.
     former : str
-        The member that a row without a standby has left out; it keeps its copy.
+        Former standby that a row without a standby removed; it retains its copy.
     lost : bool
-        All members of an earlier epoch were lost together, so for a program that is
-        not in the log the answer is "unknown" and never "not run".
+        Whether all members of an earlier epoch failed together.  For a program that
+        is not in the log the answer is then "unknown" and never "not run".
     """
 
     slot: int
@@ -85,7 +86,7 @@
 
 
 class Replica(NamedTuple):
-    """One process's part in one slot.
+    """State of one process for one slot.
 
     Attributes
     ----------
@@ -96,23 +97,23 @@
     role : Role
         Current role.
     epoch : int
-        Highest epoch seen; rows and messages of lower ones are ignored.
+        Highest epoch seen; rows and messages of lower epochs are ignored.
     peer : str
-        The standby of a carrier, or the carrier of a copy.
+        The standby of a primary, or the primary of a copy.
     learner : str
-        Member that a carrier is copying to.
+        Member that a primary is copying to.
     session : int
-        Number of the copying session; tells a learner's late answers apart.
+        Number of the copying session; identifies late acknowledgements of a learner.
     last : int
-        Position of the newest entry held.
-    acked, learnt : int
+        Position of the newest stored entry.
+    standby_acked, learner_acked : int
         Newest positions acknowledged by standby and learner; -1 for none.
     committed : int
-        Newest position whose effects may be released.
+        Newest position whose effects may be carried out.
     proposal : SlotRow or None
-        The change of the row that this carrier has asked for.
+        The change of the row that this primary has proposed.
     former : str
-        The former member that the present row names.
+        The former member that the current row names.
     lost : bool
         See `SlotRow`.
     """
@@ -125,8 +126,8 @@
     learner: str = NO_MEMBER
     session: int = 0
     last: int = 0
-    acked: int = -1
-    learnt: int = -1
+    standby_acked: int = -1
+    learner_acked: int = -1
     committed: int = 0
     proposal: SlotRow | None = None
     former: str = NO_MEMBER
@@ -134,7 +135,7 @@
 
 
 def append(replica: Replica) -> Replica:
-    """Add one entry to a carrier's log.
+    """Add one entry to the log of a primary.
 
     Callers check `may_append` first.
     """
@@ -143,10 +144,10 @@
 
 
 def may_append(replica: Replica) -> bool:
-    """Whether the carrier may add entries now.
+    """Whether the primary may add entries now.
 
-    While a hand-over is proposed the log stands still, so that both members hold
-    the same entries whichever of them the table names carrier.
+    While a hand-over is proposed no entries are added, so that both members have the
+    same entries when the table names one of them primary.
     """
     if replica.role is not Role.PRIMARY:
         return False
@@ -162,17 +163,17 @@
     first: int,
     count: int,
 ) -> tuple[Replica, int]:
-    """Take entries at a copy.
+    """Accept entries at a standby or learner.
 
     Returns
     -------
     replica : Replica
         The new state.
-    taken : int
-        How many entries, from position ``replica.last + 1`` of the old state on,
-        are new; -1 if the message must be ignored without an answer.
+    accepted_count : int
+        Number of new entries, starting at position ``replica.last + 1`` of the old
+        state; -1 if the message must be ignored without an answer.
     """
-    if not _listens_to(replica, sender, epoch, session):
+    if not _accepts_from(replica, sender, epoch, session):
         return replica, -1
     end = first + count - 1
     if first > replica.last + 1 or end <= replica.last:
@@ -180,8 +181,8 @@
     return replica._replace(last=end), end - replica.last
 
 
-def _listens_to(replica: Replica, sender: str, epoch: int, session: int) -> bool:
-    """Whether a copy accepts entries of a sender."""
+def _accepts_from(replica: Replica, sender: str, epoch: int, session: int) -> bool:
+    """Whether a standby or learner accepts entries from a sender."""
     if sender != replica.peer or epoch != replica.epoch:
         return False
     if replica.role is Role.STANDBY:
@@ -189,50 +190,52 @@
     return replica.role is Role.LEARNER and session == replica.session
 
 
-def acknowledged(
+def receive_ack(
     replica: Replica, *, sender: str, epoch: int, session: int, last: int
 ) -> Replica:
-    """Take an acknowledgement at a carrier and advance what is committed."""
+    """Record an acknowledgement at a primary and advance the committed position."""
     if replica.role is not Role.PRIMARY or epoch != replica.epoch:
         return replica
     if session == 0 and sender == replica.peer:
-        replica = replica._replace(acked=max(replica.acked, last))
+        replica = replica._replace(standby_acked=max(replica.standby_acked, last))
     elif sender == replica.learner and session == replica.session:
-        replica = replica._replace(learnt=max(replica.learnt, last))
+        replica = replica._replace(learner_acked=max(replica.learner_acked, last))
     return _advance(replica)
 
 
 def _advance(replica: Replica) -> Replica:
     if replica.peer == NO_MEMBER:
         return replica
-    bound = min(replica.acked, replica.last)
+    bound = min(replica.standby_acked, replica.last)
     proposal = replica.proposal
     if proposal is not None and proposal.standby not in (NO_MEMBER, replica.me):
-        bound = min(bound, replica.learnt)
+        bound = min(bound, replica.learner_acked)
     return replica._replace(committed=max(replica.committed, bound))
 
 
 def start_copy(replica: Replica, learner: str) -> Replica:
-    """Choose a new copy holder; its positions are unknown until it answers."""
+    """Set the learner of a new copy; its position is unknown until it answers."""
     assert replica.role is Role.PRIMARY
-    return replica._replace(learner=learner, session=replica.session + 1, learnt=-1)
+    return replica._replace(
+        learner=learner, session=replica.session + 1, learner_acked=-1
+    )
 
 
 def drop_learner(replica: Replica) -> Replica:
-    """Give a copying session up, unless its learner is already proposed."""
+    """End a copying session, unless its learner is already proposed as standby."""
     proposal = replica.proposal
     if proposal is not None and proposal.standby == replica.learner:
         return replica
-    return replica._replace(learner=NO_MEMBER, learnt=-1)
+    return replica._replace(learner=NO_MEMBER, learner_acked=-1)
 
 
-def learn(
+def become_learner(
     replica: Replica, *, sender: str, epoch: int, session: int, last: int
 ) -> Replica:
-    """Become a learner that holds a complete copy up to ``last``.
+    """Become a learner that has a complete copy up to ``last``.
 
-    A member that still has a named role ignores the copy: it must first hear that
-    the table has moved on.
+    A standby or primary ignores the copy: it must first see the row that removes it
+    from this role.
     """
     named = replica.role in (Role.STANDBY, Role.PRIMARY)
     if named or epoch < replica.epoch:
@@ -252,9 +255,9 @@
 
 
 def takeover_row(replica: Replica) -> SlotRow | None:
-    """Return the row to propose for taking over from a suspected carrier.
+    """Return the row to propose for taking over from a suspected primary.
 
-    None if this member may not: it is neither the standby nor the former member.
+    None if this member is neither the standby nor the former member.
     """
     former = replica.former == replica.me
     if replica.role is not Role.STANDBY and not former:
@@ -263,7 +266,7 @@
 
 
 def propose_alone(replica: Replica) -> Replica:
-    """Propose that a carrier goes on without the standby it suspects."""
+    """Propose that a primary continues without its suspected standby."""
     if replica.role is not Role.PRIMARY or replica.peer == NO_MEMBER:
         return replica
     if replica.proposal is not None:
@@ -273,20 +276,20 @@
 
 
 def propose_learner(replica: Replica) -> Replica:
-    """Propose the learner as standby once it holds all that is committed."""
+    """Propose the learner as standby once it has all committed entries."""
     if replica.role is not Role.PRIMARY or replica.proposal is not None:
         return replica
-    if replica.learner == NO_MEMBER or replica.learnt < replica.committed:
+    if replica.learner == NO_MEMBER or replica.learner_acked < replica.committed:
         return replica
     row = _next_row(replica, replica.me, replica.learner)
     return replica._replace(proposal=row)
 
 
 def propose_handover(replica: Replica) -> Replica:
-    """Propose to swap roles with the standby, once it holds the whole log."""
+    """Propose to swap roles with the standby once it has the whole log."""
     if replica.role is not Role.PRIMARY or replica.proposal is not None:
         return replica
-    if replica.peer == NO_MEMBER or replica.acked < replica.last:
+    if replica.peer == NO_MEMBER or replica.standby_acked < replica.last:
         return replica
     return replica._replace(proposal=_next_row(replica, replica.peer, replica.me))
 
@@ -305,15 +308,15 @@
 
 
 def observe_row(replica: Replica, row: SlotRow) -> Replica:
-    """Take a confirmed row of the table.
+    """Apply a confirmed row of the table.
 
-    A row of an epoch already seen changes nothing.  A member that the row does not
-    name drops its copy.
+    A row of an epoch already seen is ignored.  A member that the row does not name
+    drops its copy.
     """
     if row.epoch <= replica.epoch:
         return replica
-    holds_log = row.fresh or replica.role is not Role.NONE
-    if not holds_log or replica.me not in (row.primary, row.standby, row.former):
+    has_log = row.fresh or replica.role is not Role.NONE
+    if not has_log or replica.me not in (row.primary, row.standby, row.former):
         return Replica(me=replica.me, slot=replica.slot, epoch=row.epoch)
     if row.primary == replica.me:
         return _become_primary(replica, row)
@@ -340,7 +343,7 @@
         peer=row.standby,
         session=replica.session,
         last=0 if row.fresh else replica.last,
-        acked=replica.learnt if promoted else -1,
+        standby_acked=replica.learner_acked if promoted else -1,
         committed=replica.committed if was_primary else 0,
         former=row.former,
         lost=row.lost,
--- a/wisteriastair/core/running.py
+++ b/wisteriastair/core/running.py
@@ -1,8 +1,7 @@
-"""The programs on their carrier, and what it keeps beside their committed state.
+"""State of programs on their primary that is not part of the committed log.
 
-Nothing here outlives the carrier: a successor starts with an empty `RunningProgram` and
-asks
-the gates.
+This state is lost with the primary: after a takeover, the new primary creates a new
+`RunningProgram` for each program and asks the gates.
 """
 
 from __future__ import annotations
@@ -16,11 +15,11 @@
 from .slots import Slots
 from .wire import ProgramOutcome, ProgramPending, ProgramText
 
-SUBSCRIPTION_S: Final = 10.0
+SUBSCRIPTION_TTL_S: Final = 10.0
 
 
 class Subscriber:
-    """A request that waits for a program at some entry."""
+    """A request at an entry that waits for a program."""
 
     def __init__(
         self, request: str, reply_to: str, number: int, offset: int, stream: bool
@@ -30,38 +29,39 @@
         self.number = number
         self.offset = offset
         self.stream = stream
-        self.expires = 0.0
+        self.expires_at = 0.0
 
 
 class RunningProgram:
-    """A program on its carrier.
+    """A program on its primary.
 
     Attributes
     ----------
     uncommitted : int
-        Records appended and not yet committed; no decision is taken meanwhile.
+        Number of appended records that are not committed; while it is above 0, no
+        further step is taken.
     text_length : int
-        Characters of the open call's output appended so far.
+        Number of characters of output of the open call that were appended.
     ending : bool
-        The open call's end is appended.
-    asked_at, heard_at : float
-        When the gate was last asked about the open call, and last heard.
+        Whether the end of the open call was appended.
+    looked_up_at, last_heard_at : float
+        Times of the last look-up of the open call and of the last message about it.
     not_before : float
-        No new attempt earlier.
+        Earliest time of the next attempt.
     avoid_server : str
         Server that refused or lost the last attempt.
     trace : str
-        Parent span for the hops of this program.
+        Parent span of the calls of this program.
     """
 
     def __init__(self, program: Program, slot: int) -> None:
         self.program = program
         self.slot = slot
         self.uncommitted = 0
-        self.text_length = len(program.partial)
+        self.text_length = len(program.partial_text)
         self.ending = False
-        self.asked_at = 0.0
-        self.heard_at = 0.0
+        self.looked_up_at = 0.0
+        self.last_heard_at = 0.0
         self.not_before = 0.0
         self.avoid_server = ""
         self.trace = ""
@@ -69,20 +69,20 @@
 
     def subscribe(self, subscriber: Subscriber, now: float) -> None:
         """Add or renew a subscription."""
-        subscriber.expires = now + SUBSCRIPTION_S
+        subscriber.expires_at = now + SUBSCRIPTION_TTL_S
         self.subscribers[subscriber.request] = subscriber
 
-    def wants_stream(self) -> bool:
-        """Whether any caller reads the output as it comes."""
+    def has_streaming_subscriber(self) -> bool:
+        """Whether any subscriber receives the output while it is generated."""
         return any(s.stream for s in self.subscribers.values())
 
     def expire_subscribers(self, now: float) -> None:
-        """Drop subscriptions that their entries no longer renew."""
-        for request in [r for r, s in self.subscribers.items() if s.expires < now]:
+        """Drop subscriptions that were not renewed in time."""
+        for request in [r for r, s in self.subscribers.items() if s.expires_at < now]:
             del self.subscribers[request]
 
     def deliver(self, out: Outbox) -> None:
-        """Send each subscriber what is committed and new to it."""
+        """Send each subscriber the committed output that was not sent to it before."""
         for subscriber in list(self.subscribers.values()):
             if subscriber.stream:
                 self._deliver_text(subscriber, out)
@@ -93,8 +93,8 @@
     def _deliver_text(self, subscriber: Subscriber, out: Outbox) -> None:
         program = self.program
         texts = dict(program.outputs)
-        if program.call is not None and program.partial:
-            texts[program.call.number] = program.partial
+        if program.call is not None and program.partial_text:
+            texts[program.call.number] = program.partial_text
         for number in sorted(n for n in texts if n >= subscriber.number):
             offset = subscriber.offset if number == subscriber.number else 0
             new = texts[number][offset:]
@@ -108,11 +108,11 @@
             subscriber.offset = offset + len(new)
 
     def pending_message(self, request: str) -> ProgramPending:
-        """Tell a request that its program is under way."""
+        """Build the message that a program is running."""
         return ProgramPending(request, self.program.start.program)
 
     def outcome(self, request: str) -> ProgramOutcome:
-        """Tell a request how its program ended."""
+        """Build the message with the outcome of an ended program."""
         program = self.program
         ended = program.ended
         assert ended is not None, "only an ended program has an outcome"
@@ -131,18 +131,18 @@
 
 
 class RunningPrograms:
-    """All programs carried here, and the log below them.
+    """All programs whose primary is this process, and access to their log.
 
     Attributes
     ----------
     config : Config
         The configuration in force.
     now : float
-        Time of the present step in seconds.
+        Time of the current step in seconds.
     by_name : dict of str to RunningProgram
-        Every program, under way or kept for late askers.
+        All programs, both live ones and those retained for late callers.
     live : dict of str to None
-        Names of those under way, in the order in which they came.
+        Names of the programs that have not ended, in order of their start.
     """
 
     def __init__(self) -> None:
@@ -154,11 +154,11 @@
 
     @property
     def active(self) -> int:
-        """Programs under way."""
+        """Number of programs that have not ended."""
         return len(self.live)
 
     def bind(self, slots: Slots) -> None:
-        """Connect the replication below (the two know each other)."""
+        """Set the slots, which depend on this object themselves."""
         self._slots = slots
 
     def may_append(self, run: RunningProgram) -> bool:
@@ -166,7 +166,7 @@
         return self._slots.may_append(run.slot)
 
     def epoch(self, run: RunningProgram) -> int:
-        """Epoch under which a program is carried."""
+        """Epoch of the slot of a program."""
         return self._slots.epoch(run.slot)
 
     def append(
@@ -177,13 +177,13 @@
             run.uncommitted += 1
         self._slots.append(run.slot, record.program, record)
 
-    def forget(self, run: RunningProgram) -> None:
-        """Drop a program from the log and from here."""
+    def drop(self, run: RunningProgram) -> None:
+        """Drop a program from the log and from this process."""
         name = run.program.start.program
         self._slots.append(run.slot, name, None)
         del self.by_name[name]
 
     def service(self, run: RunningProgram) -> Service:
-        """Return a program's service as configured now, or as it was at its start."""
+        """Return the service of a program as configured, or as at its start."""
         definition = run.program.start.definition
         return self.config.services.get(definition.name, definition)
--- a/wisteriastair/core/side.py
+++ b/wisteriastair/core/side.py
@@ -1,7 +1,7 @@
-"""The side process: gate of its backend servers, and carrier or standby of slots.
+"""The side process: gate of its backend servers, and primary or standby of slots.
 
 `SideCore.step` takes one event and the time and returns the effects.  It only routes
-the event to the part that knows what to do.
+the event to the component that handles it.
 """
 
 from __future__ import annotations
@@ -46,21 +46,21 @@
     CallPending,
     CallResult,
     CallText,
-    Copy,
     CopyEnd,
     DocPull,
     DocPush,
     GateCall,
     GateCancel,
-    GateForget,
+    GateDiscard,
     GateLookup,
     Heartbeat,
-    HoldRelease,
-    HoldRenew,
+    LeaseRelease,
+    LeaseRenew,
     ListPrograms,
     Message,
     ProgramAttach,
     ProgramCancel,
+    ProgramCopy,
     ProgramStart,
 )
 
@@ -129,7 +129,7 @@
         self._leaving = False
 
     def step(self, event: Event, now: float) -> list[Effect]:
-        """Take one event; return what the shell must do."""
+        """Handle one event; return the effects that the shell must carry out."""
         self.programs.now = now
         match event:
             case Received(sender, message):
@@ -150,11 +150,11 @@
                 self._leaving = any(
                     i.leaving for i in instances if i.address == address_of(self._me)
                 )
-                self._mark_leaving()
+                self._update_leaving_gates()
             case StopRequested():
                 self.peers.draining = True
                 self._stop_at = self._stop_at or now
-                self._mark_leaving()
+                self._update_leaving_gates()
             case KvValue() | KvWritten() | KvConflict() | KvUnknown():
                 self._on_kv(event, now)
         self.slots.flush(now)
@@ -166,29 +166,29 @@
         self, event: KvValue | KvWritten | KvConflict | KvUnknown, now: float
     ) -> None:
         if isinstance(event, KvValue | KvWritten):
-            self._take_doc(event.key, event.revision, event.value)
+            self._accept_doc(event.key, event.revision, event.value)
         if not self.placement.owns(event.key):
             return
         self.out.extend(self.placement.on_kv_response(event, now))
 
-    def _take_doc(self, key: str, revision: int, value: bytes) -> None:
-        """Take a document and pass it on if it is news."""
-        if not self.docs.offer(key, revision, value):
+    def _accept_doc(self, key: str, revision: int, value: bytes) -> None:
+        """Store and push a document if it is newer than the stored one."""
+        if not self.docs.store_if_newer(key, revision, value):
             return
-        self.out.extend(self.docs.spread(key))
+        self.out.extend(self.docs.push(key))
         if key == CONFIG_KEY:
             self.programs.config = decode_config(value)
-            self._mark_leaving()
-            self.out.note(f"configuration {revision} in force")
+            self._update_leaving_gates()
+            self.out.log(f"configuration {revision} in force")
         elif self.placement.owns(key):
             for row in self.placement.apply_segment(value):
                 self.slots.observe(row)
 
-    def _mark_leaving(self) -> None:
-        """Refuse new work at the gate of a leaving server.
+    def _update_leaving_gates(self) -> None:
+        """Refuse new calls at the gates of leaving servers.
 
-        A router that has not heard yet still sends calls here; the gate's refusal is
-        what makes the promise independent of how fast the news travels.
+        A router that has an older configuration still sends calls to this process.
+        Since the gate refuses them, no call starts even if updates arrive late.
         """
         servers = self.programs.config.servers
         for name, gate in self.gates.items():
@@ -199,24 +199,24 @@
     # Messages
 
     def _receive(self, sender: str, message: Message, now: float) -> None:
-        beat = message if isinstance(message, Heartbeat) else None
-        self.peers.heard(sender, beat, now)
+        heartbeat = message if isinstance(message, Heartbeat) else None
+        self.peers.on_message(sender, heartbeat, now)
         match message:
             case Heartbeat():
-                self.out.extend(self.docs.compare(sender, message.revisions))
+                self.out.extend(self.docs.pull_if_older(sender, message.revisions))
             case DocPush(key, revision, value):
-                self._take_doc(key, revision, value)
+                self._accept_doc(key, revision, value)
             case DocPull():
                 self.out.extend(self.docs.on_pull(sender, message))
-                self.out.extend(self.docs.compare(sender, message.revisions))
+                self.out.extend(self.docs.pull_if_older(sender, message.revisions))
             case Append():
-                self.slots.copies.on_append(sender, message)
+                self.slots.copy_receiver.on_append(sender, message)
             case Acknowledge():
                 self.slots.on_acknowledge(sender, message, now)
-            case Copy():
-                self.slots.copies.on_copy(sender, message)
+            case ProgramCopy():
+                self.slots.copy_receiver.on_copy(sender, message)
             case CopyEnd():
-                self.slots.copies.on_copy_end(sender, message)
+                self.slots.copy_receiver.on_copy_end(sender, message)
             case CallText():
                 self.calls.on_text(sender, message)
             case CallResult():
@@ -246,18 +246,18 @@
                 gate.on_lookup(sender, message, now)
             case GateCancel(call, _):
                 gate.on_cancel(call, now)
-            case GateForget(call, _):
-                gate.on_forget(call)
-            case HoldRenew(_, programs):
+            case GateDiscard(call, _):
+                gate.on_discard(call)
+            case LeaseRenew(_, programs):
                 gate.renew(programs, now)
-            case HoldRelease(_, programs):
+            case LeaseRelease(_, programs):
                 gate.release(programs)
 
     # Time
 
     def _tick(self, now: float) -> None:
-        self.peers.carried = self.slots.count()
-        self.peers.leads = len(self.slots.open_slots())
+        self.peers.replica_count = self.slots.count()
+        self.peers.primary_count = len(self.slots.open_slots())
         self.peers.tick(self.slots.partners(), now)
         self.out.extend(self.docs.tick(now))
         self.slots.tick(now)
@@ -272,20 +272,21 @@
     def _check_drained(self, now: float) -> None:
         """Report the end of a planned stop.
 
-        It is over when nothing is carried or copied here and the gates are idle; a
-        short wait lets news of the stop reach those who would still send calls.
+        The stop is complete when this process has no slots and its gates are idle.  A
+        short delay lets the heartbeats about the stop reach peers that would otherwise
+        still send calls.
         """
         if not self._stop_at or self._drained or now - self._stop_at < DRAIN_NOTICE_S:
             return
         idle = all(gate.idle for gate in self.gates.values())
-        held = self.slots.count()
-        if idle and held == 0:
+        replica_count = self.slots.count()
+        if idle and replica_count == 0:
             self._drained = True
             self.out.add(Drained())
         elif 0 < self._stop_limit_s < now - self._stop_at:
-            # The operator's choice: with no other process able to take over, a stop
-            # would otherwise wait for ever.
+            # Set by the operator: if no other process can take over the slots, the
+            # stop would otherwise never end.
             self._drained = True
-            text = f"stop limit reached with {held} slots held; exiting all the same"
-            self.out.note(text, level="warning")
+            text = f"stop limit reached with {replica_count} slots not handed over"
+            self.out.log(text, level="warning")
             self.out.add(Drained())
--- a/wisteriastair/core/slotstate.py
+++ b/wisteriastair/core/slotstate.py
@@ -1,4 +1,4 @@
-"""What a process keeps of one slot."""
+"""State of one slot in a process."""
 
 from __future__ import annotations
 
@@ -15,29 +15,30 @@
 
     Attributes
     ----------
-    waiting : deque
-        Records appended here and not committed yet, with their positions.
+    uncommitted_records : deque
+        Records appended in this process and not committed yet, with their positions.
     is_open : bool
-        The programs of the slot run here.
-    sent, fed : int
-        Newest positions sent to the standby and to the learner; -1 for unknown.
-    resend_at, copy_until, behind_since, row_at : float
-        Times (seconds) that pace repeats, copies and suspicions.
-    staged, staged_for, staged_end
-        A copy that is arriving: its programs, its source, and its end.
+        Whether the programs of the slot run in this process.
+    standby_sent, learner_sent : int
+        Newest positions sent to the standby and to the learner; -1 if unknown.
+    resend_at, copy_deadline, behind_since, row_changed_at : float
+        Times in seconds of the next resend, the end of the time limit of a copy, the
+        last moment without unacknowledged entries and the last change of the row.
+    staged, staged_source, staged_end
+        An incoming copy: its programs, its source and its end.
     """
 
     def __init__(self, me: str, slot: int) -> None:
         self.replica = Replica(me=me, slot=slot)
         self.log = SlotLog()
-        self.waiting: deque[tuple[int, Record]] = deque()
+        self.uncommitted_records: deque[tuple[int, Record]] = deque()
         self.is_open = False
-        self.sent = -1
-        self.fed = -1
+        self.standby_sent = -1
+        self.learner_sent = -1
         self.resend_at = 0.0
-        self.copy_until = 0.0
+        self.copy_deadline = 0.0
         self.behind_since = 0.0
-        self.row_at = 0.0
+        self.row_changed_at = 0.0
         self.staged: dict[str, tuple[Entry, ...]] = {}
-        self.staged_for: tuple[str, int, int] = ("", 0, 0)
+        self.staged_source: tuple[str, int, int] = ("", 0, 0)
         self.staged_end: CopyEnd | None = None
--- a/wisteriastair/core/wire.py
+++ b/wisteriastair/core/wire.py
@@ -1,14 +1,13 @@
 """The messages between the processes of the system.
 
-Every message is one-way and may be lost, doubled, delayed or overtaken; the state
-machines repeat what matters and recognise what they have already seen.  Results
+Every message is one-way and may be lost, duplicated, delayed or reordered.  The state
+machines repeat messages until they are answered and recognise duplicates.  Results
 are matched by their ids (program, call number, attempt), never by the connection
-or by the order in which they arrive, so a late or crossed answer cannot reach the
-wrong caller.
+or by the order of arrival, so a late or reordered answer cannot reach the wrong
+caller.
 
-A process is named by its *member* id, ``address#incarnation``.  A restarted
-process has a new incarnation, so nothing that was meant for the old one is taken
-for its own.
+A process is identified by its *member* id, ``address#incarnation``.  A restarted
+process has a new incarnation, so it does not accept messages for the old one.
 """
 
 from __future__ import annotations
@@ -29,7 +28,7 @@
 
 
 class Heartbeat(NamedTuple):
-    """Liveness and the newest revisions the sender holds.
+    """Liveness and document revisions of the sender.
 
     Attributes
     ----------
@@ -37,26 +36,26 @@
         Failure domain of the sender.
     draining : bool
         Whether the sender is in a planned stop.
-    carried : int
-        Slots the sender carries or copies, for placing copies evenly.
-    leads : int
-        Slots the sender carries.
+    replica_count : int
+        Number of slots of which the sender has a replica, for even placement.
+    primary_count : int
+        Number of slots whose primary is the sender.
     revisions : dict of str to int
-        Newest revision held of each document.
+        Stored revision of each document.
     reply : bool
-        Whether the receiver is asked for a heartbeat of its own.
+        Whether the receiver should reply with its own heartbeat.
     """
 
     domain: str
     draining: bool
-    carried: int
-    leads: int
+    replica_count: int
+    primary_count: int
     revisions: dict[str, int]
     reply: bool
 
 
 class DocPush(NamedTuple):
-    """A document at a revision, for a peer that holds an older one."""
+    """A document at a revision, for a peer that has an older one."""
 
     key: str
     revision: int
@@ -70,10 +69,10 @@
 
 
 class Entry(NamedTuple):
-    """One position of a slot's log.
+    """One entry in the log of a slot.
 
     ``digest`` chains the record to its predecessor in the same program, so a copy
-    can refuse a record that is missing, doubled, reordered or of another program.
+    can refuse a record that is missing, duplicated, reordered or of another program.
     An empty ``body`` drops the program from the log.
     """
 
@@ -84,7 +83,7 @@
 
 
 class Append(NamedTuple):
-    """Log entries from a carrier to its standby or learner."""
+    """Log entries from a primary to its standby or learner."""
 
     slot: int
     epoch: int
@@ -94,7 +93,7 @@
 
 
 class Acknowledge(NamedTuple):
-    """The copy holds all entries up to ``last``."""
+    """The standby or learner has stored all entries up to ``last``."""
 
     slot: int
     epoch: int
@@ -102,7 +101,7 @@
     last: int
 
 
-class Copy(NamedTuple):
+class ProgramCopy(NamedTuple):
     """All entries of one program, for a learner."""
 
     slot: int
@@ -113,7 +112,7 @@
 
 
 class CopyEnd(NamedTuple):
-    """The end of a copy: programs it had and the position it stands for."""
+    """The end of a copy: its number of programs and its last position."""
 
     slot: int
     epoch: int
@@ -128,11 +127,13 @@
     Attributes
     ----------
     call : CallId
-        Identity, by which the gate refuses a second run.
+        Id by which the gate refuses a second run.
     slot, epoch : int
-        The carrier's authority; a gate refuses an epoch older than it has seen.
+        Slot of the program and its epoch; a gate ignores an epoch older than the
+        newest that it has seen.
     gate : str
-        The member the intent names; another incarnation must not run the call.
+        Member id of the gate in the intent; another incarnation must not run the
+        call.
     server : str
         Backend server behind the gate.
     kind : str
@@ -142,22 +143,22 @@
     body : str
         Encoded request.
     offset : int
-        Characters of the output that are committed already, when an interrupted
-        model call goes on from its prefix.
+        Number of characters of the output that are already committed, when an
+        interrupted model call is continued.
     repeatable : bool
         Whether the call may run twice.
     max_tokens : int
-        Completion tokens the reservation covers.
+        Maximum number of completion tokens, which the reservation covers.
     priority : int
         Service priority; higher goes first.
     age_s : float
         Seconds since the program started.
     prompt_tokens : int
-        Upper bound of the prompt, for admission by engine memory.
+        Upper bound of the prompt in tokens, for admission by engine memory.
     timeout_s : float
         Seconds until the gate gives the call up.
     issued_at : float
-        Time of dispatch (seconds since the epoch) at the carrier.
+        Time of dispatch at the primary, in seconds since the Unix epoch.
     trace : str
         Parent span (W3C ``traceparent``).
     """
@@ -182,7 +183,7 @@
 
 
 class GateLookup(NamedTuple):
-    """What became of a call; an unknown id is poisoned by the question."""
+    """A request for the state of a call; an unknown id gets a tombstone."""
 
     call: CallId
     slot: int
@@ -193,40 +194,40 @@
 
 
 class GateCancel(NamedTuple):
-    """Stop a call whose result nobody needs."""
+    """Stop a call whose result is no longer needed."""
 
     call: CallId
     server: str
 
 
-class GateForget(NamedTuple):
+class GateDiscard(NamedTuple):
     """The outcome is committed; the gate may drop the stored result."""
 
     call: CallId
     server: str
 
 
-class HoldRenew(NamedTuple):
-    """Programs of this carrier whose engine memory is still wanted."""
+class LeaseRenew(NamedTuple):
+    """Programs of this primary whose cache leases are renewed."""
 
     server: str
     programs: tuple[str, ...]
 
 
-class HoldRelease(NamedTuple):
-    """Programs whose engine memory must be released now."""
+class LeaseRelease(NamedTuple):
+    """Programs whose cache leases end now."""
 
     server: str
     programs: tuple[str, ...]
 
 
 class ServerLoad(NamedTuple):
-    """A gate's view of its backend server, piggybacked on results."""
+    """Load of a backend server as known to its gate, sent with results."""
 
     queued: int
     running: int
-    tokens_held: int
-    tokens_limit: int
+    tokens_in_use: int
+    token_limit: int
 
 
 class CallText(NamedTuple):
@@ -241,8 +242,8 @@
     """The end of a call.
 
     ``status`` is ``ok``, ``error``, ``refused`` or ``lost``; ``ran`` is ``yes``,
-    ``no`` or ``unknown``.  Only a gate that never dispatched the call, and never
-    will, says ``no``.
+    ``no`` or ``unknown``.  A gate reports ``no`` only if it has never dispatched the
+    call and never will.
     """
 
     call: CallId
@@ -267,10 +268,10 @@
 
 
 class ProgramStart(NamedTuple):
-    """A caller's request, from an entry to the carrier of the slot.
+    """A request of a caller, from an entry to the primary of the slot.
 
-    ``budget`` of 0 asks for the service's own.  With an ``operation`` it is a plain
-    call: ``service`` is the provider, ``prompt`` the body.
+    A ``budget`` of 0 means the default of the service.  With an ``operation`` it is a
+    plain call: ``service`` is the provider and ``prompt`` the body.
     """
 
     request: str
@@ -287,10 +288,10 @@
 
 
 class ProgramAttach(NamedTuple):
-    """Send everything after a position of an existing program.
+    """A subscription to the output of an existing program after a position.
 
-    Repeated by the entry as long as its caller waits; a subscription that is not
-    renewed expires.
+    The entry repeats it while its caller waits; a subscription that is not renewed
+    expires.
     """
 
     request: str
@@ -303,7 +304,7 @@
 
 
 class ProgramCancel(NamedTuple):
-    """The caller no longer wants the program."""
+    """The caller cancels the program."""
 
     request: str
     slot: int
@@ -324,9 +325,8 @@
 class ProgramOutcome(NamedTuple):
     """The final answer to a request.
 
-    ``status`` is ``done`` for a whole answer; anything else is an error code of
-    `wisteriastair.errors`.  ``retry_after_s`` of 0 means that asking again is of
-    no use.
+    ``status`` is ``done`` for a whole answer; other values are error codes of
+    `wisteriastair.errors`.  A ``retry_after_s`` of 0 means that a retry is useless.
     """
 
     request: str
@@ -341,21 +341,21 @@
 
 
 class ProgramPending(NamedTuple):
-    """The program is under way; sent at once in answer to start or attach."""
+    """The program is running; sent at once in answer to start or attach."""
 
     request: str
     program: str
 
 
 class NotPrimary(NamedTuple):
-    """The receiver does not carry the slot; ask the table again."""
+    """The sender is not the primary of the slot; the slot table has changed."""
 
     request: str
     slot: int
 
 
 class ListPrograms(NamedTuple):
-    """An operator's question to one carrier."""
+    """A request of an operator for the programs of one primary."""
 
     request: str
     customer: str
@@ -363,7 +363,11 @@
 
 
 class ProgramRow(NamedTuple):
-    """One line of the operators' listing of programs."""
+    """One row of the operators' listing of programs.
+
+    The fields are columns of the query language; ``carrier`` is the member id of the
+    primary.
+    """
 
     program: str
     service: str
@@ -379,7 +383,7 @@
 
 
 class ProgramList(NamedTuple):
-    """A carrier's answer to `ListPrograms`."""
+    """The answer of a primary to `ListPrograms`."""
 
     request: str
     rows: tuple[ProgramRow, ...]
@@ -391,14 +395,14 @@
     | DocPull
     | Append
     | Acknowledge
-    | Copy
+    | ProgramCopy
     | CopyEnd
     | GateCall
     | GateLookup
     | GateCancel
-    | GateForget
-    | HoldRenew
-    | HoldRelease
+    | GateDiscard
+    | LeaseRenew
+    | LeaseRelease
     | CallText
     | CallResult
     | CallPending
@@ -424,7 +428,7 @@
 
 
 def decode_message(data: bytes) -> Message:
-    """Decode what `encode_message` wrote.
+    """Decode the output of `encode_message`.
 
     Raises
     ------
