--- a/tests/operators/test_changes.py
+++ b/tests/operators/test_changes.py
@@ -1,4 +1,4 @@
-"""Changes of configuration under lost answers, outages and racing operators."""
+"""Configuration changes with lost responses, outages and concurrent operators."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 from wisteriastair.core.events import KvConflict, KvSwap, KvUnknown, KvValue, KvWritten
 from wisteriastair.errors import Code, Failure
 from wisteriastair.operators import changes
-from wisteriastair.operators.changes import Accepted, make_change
+from wisteriastair.operators.changes import ConfirmedChange, make_change
 from wisteriastair.platform.kv import KeyValueStore
 from wisteriastair.standins.virtual_parts import VirtualKv
 
 
 class FakeKv(KeyValueStore):
-    """A key-value service whose writes can be lost, late or answered by silence."""
+    """A key-value service whose responses can be lost and whose writes can be late."""
 
     def __init__(self) -> None:
         self.kv = VirtualKv()
-        self.late: list[KvSwap] = []
-        self.delay_next = 0
+        self.late_writes: list[KvSwap] = []
+        self.writes_to_delay = 0
 
     async def read(self, key: str) -> KvValue | KvUnknown:
         return self.kv.read(key)
@@ -36,9 +36,9 @@
         self, key: str, revision: int, value: bytes
     ) -> KvWritten | KvConflict | KvUnknown:
         swap = KvSwap(key, revision, value)
-        if self.delay_next > 0:
-            self.delay_next -= 1
-            self.late.append(swap)
+        if self.writes_to_delay > 0:
+            self.writes_to_delay -= 1
+            self.late_writes.append(swap)
             return KvUnknown(key, True)
         return self.kv.swap(swap)
 
@@ -49,99 +49,99 @@
         return None
 
     def config(self) -> Config:
-        held = self.kv.keys.get(CONFIG_KEY)
-        return decode_config(held.value if held is not None else b"")
+        stored = self.kv.keys.get(CONFIG_KEY)
+        return decode_config(stored.value if stored is not None else b"")
 
 
 @pytest.fixture(autouse=True)
-def no_waiting(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(changes, "_delay", lambda change, attempt: 0.0)
+def no_retry_delay(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(changes, "_retry_delay_s", lambda change_id, attempt: 0.0)
 
 
-def change(
+def make_named_change(
     kv: FakeKv, name: str, *, create: bool = True, budget: int = 1, expected: int = 0
-) -> Accepted | Failure:
-    def make(config: Config) -> Change:
+) -> ConfirmedChange | Failure:
+    def build_change(config: Config) -> Change:
         return PutService(f"change-{name}", create, Service(name, budget))
 
-    return anyio.run(make_change, kv, f"change-{name}", make, expected)
+    return anyio.run(make_change, kv, f"change-{name}", build_change, expected)
 
 
 def test_accepted_means_confirmed() -> None:
     kv = FakeKv()
-    outcome = change(kv, "appraisal")
-    assert isinstance(outcome, Accepted)
+    outcome = make_named_change(kv, "appraisal")
+    assert isinstance(outcome, ConfirmedChange)
     assert outcome.revision == kv.kv.revision
     assert "appraisal" in kv.config().services
 
 
-def test_lost_answer_is_read_back() -> None:
-    """The operator is told "accepted" although the answer to the write was lost.
+def test_lost_response_is_read_back() -> None:
+    """A change is accepted although the response to its write was lost.
 
-    The write takes effect, its answer does not arrive, the document is read back and
-    carries the change's id; it is not made twice.
+    The write takes effect.  The document is then read back with the id of the change,
+    so that the write is not repeated.
     """
     kv = FakeKv()
     kv.kv.lose_answers = 1
-    assert isinstance(change(kv, "appraisal"), Accepted)
+    assert isinstance(make_named_change(kv, "appraisal"), ConfirmedChange)
     assert kv.config().changes == ("change-appraisal",)
 
 
 def test_write_that_arrives_late_takes_effect_at_most_once() -> None:
-    """A first write is delayed, a second one wins; the first then changes nothing."""
+    """A delayed write has no effect after the repeated write has succeeded."""
     kv = FakeKv()
-    kv.delay_next = 1
-    assert isinstance(change(kv, "appraisal"), Accepted)
+    kv.writes_to_delay = 1
+    assert isinstance(make_named_change(kv, "appraisal"), ConfirmedChange)
     revision = kv.kv.revision
-    for late in kv.late:
-        assert isinstance(kv.kv.swap(late), KvConflict)
+    for late_writes in kv.late_writes:
+        assert isinstance(kv.kv.swap(late_writes), KvConflict)
     assert kv.kv.revision == revision
 
 
-def test_outage_is_refused_as_not_run() -> None:
+def test_outage_is_reported_as_not_run() -> None:
     kv = FakeKv()
     kv.kv.up = False
-    outcome = change(kv, "appraisal")
+    outcome = make_named_change(kv, "appraisal")
     assert isinstance(outcome, Failure)
     assert (outcome.code, outcome.ran) == (Code.PLATFORM_DOWN, "no")
 
 
-def test_outage_after_a_write_without_answer_is_unknown() -> None:
-    """The service goes down after taking a write it did not answer.
+def test_outage_after_an_unconfirmed_write_is_unknown() -> None:
+    """A write may take effect after all its responses were lost.
 
-    The operator is told that the outcome is unknown, and may send the same change
-    again: it is recognised.
+    The outcome is reported as unknown.  If the operator sends the same change again,
+    it is recognized by its id and not applied twice.
     """
     kv = FakeKv()
-    kv.delay_next = 100
-    outcome = change(kv, "appraisal")
+    kv.writes_to_delay = 100
+    outcome = make_named_change(kv, "appraisal")
     assert isinstance(outcome, Failure)
     assert (outcome.code, outcome.ran) == (Code.OUTCOME_UNKNOWN, "unknown")
-    kv.delay_next = 0
-    kv.kv.swap(kv.late[0])
-    again = change(kv, "appraisal")
-    assert isinstance(again, Accepted)
+    kv.writes_to_delay = 0
+    kv.kv.swap(kv.late_writes[0])
+    again = make_named_change(kv, "appraisal")
+    assert isinstance(again, ConfirmedChange)
     assert kv.config().changes == ("change-appraisal",)
 
 
-def test_racing_operators_get_one_winner() -> None:
-    """Two operators change what both saw at one revision; one is told who won."""
+def test_one_of_two_concurrent_changes_is_accepted() -> None:
+    """Two changes expect one revision; the second is rejected and gets the new one."""
     kv = FakeKv()
-    first = change(kv, "appraisal")
-    assert isinstance(first, Accepted)
-    seen = first.revision
-    winner = change(kv, "a", expected=seen)
-    loser = change(kv, "b", expected=seen)
-    assert isinstance(winner, Accepted)
+    first = make_named_change(kv, "appraisal")
+    assert isinstance(first, ConfirmedChange)
+    base_revision = first.revision
+    winner = make_named_change(kv, "a", expected=base_revision)
+    loser = make_named_change(kv, "b", expected=base_revision)
+    assert isinstance(winner, ConfirmedChange)
     assert isinstance(loser, Failure)
     assert loser.code is Code.CONFLICT
     assert str(winner.revision) in loser.detail
     assert "b" not in kv.config().services
 
 
-def test_refused_change_leaves_no_trace() -> None:
+def test_rejected_change_has_no_effect() -> None:
     kv = FakeKv()
-    outcome = change(kv, "appraisal", budget=0)
+    outcome = make_named_change(kv, "appraisal", budget=0)
     assert isinstance(outcome, Failure)
     assert outcome.code is Code.BAD_REQUEST
     assert kv.kv.revision == 0
--- a/tests/operators/test_endings.py
+++ b/tests/operators/test_endings.py
@@ -1,4 +1,4 @@
-"""How requests ended and why: each reason that relays write, and each doubtful case."""
+"""Outcome and cause of requests, for each reason text and for ambiguous cases."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from wisteriastair.operators import endings
 from wisteriastair.operators.endings import (
     SLOW_LEDGER_MS,
-    Denied,
-    Ended,
-    Ending,
+    Cause,
+    Classification,
     Outcome,
-    Why,
+    RequestRecord,
+    RoutedRequestRecord,
     classify,
     decode_request,
 )
-from wisteriastair.operators.trace import REQUEST_LINES, Line
+from wisteriastair.operators.trace import REQUEST_TEXTS, LogLine
 
-RELAY = Path(endings.__file__).parent.parent / "relay"
+RELAY_PACKAGE = Path(endings.__file__).parent.parent / "relay"
 REFUSED, FAILED, BROKEN_OFF = Outcome.REFUSED, Outcome.FAILED, Outcome.BROKEN_OFF
 
 
-def ended(status: int, reason: str = "", **fields: Any) -> Ended:
-    """Return a request of a program that a server got, unless said otherwise."""
-    usual = {
+def sent_request(status: int, reason: str = "", **fields: Any) -> RoutedRequestRecord:
+    """Return a request of a program that was sent to a server."""
+    defaults = {
         "took_ms": 800.0,
         "left_ms": 2_200.0,
         "program": "p1",
@@ -34,127 +34,179 @@
         "sent": True,
         "ledger_ms": 5.0,
     }
-    return Ended(status=status, reason=reason, **{**usual, **fields})
+    return RoutedRequestRecord(status=status, reason=reason, **{**defaults, **fields})
 
 
-def unsent(status: int, reason: str = "", **fields: Any) -> Ended:
-    return ended(status, reason, **{"servers": [], "sent": False, **fields})
+def unsent_request(status: int, reason: str = "", **fields: Any) -> RoutedRequestRecord:
+    return sent_request(status, reason, **{"servers": [], "sent": False, **fields})
 
 
-SLOW = SLOW_LEDGER_MS + 1
+SLOW_MS = SLOW_LEDGER_MS + 1
 
 
 @pytest.mark.parametrize(
-    ("request_", "expected"),
+    ("request_record", "expected"),
     [
-        (unsent(402, "3 of 2 tokens are taken"), (REFUSED, Why.BUDGET)),
-        (unsent(404, "no turn q0"), (REFUSED, Why.UNKNOWN_TURN)),
-        (unsent(400, "odd"), (REFUSED, Why.DENIED)),
-        (unsent(429, "the quota of one is used up"), (REFUSED, Why.OVER_QUOTA)),
         (
-            unsent(503, "none of 3 holders of the quota answered in view 7"),
-            (REFUSED, Why.QUOTA_AWAY),
+            unsent_request(402, "3 of 2 tokens are taken"),
+            (REFUSED, Cause.BUDGET_EXHAUSTED),
         ),
-        (unsent(503, "1 of 2 replicas answered in view 3"), (REFUSED, Why.LEDGER_AWAY)),
+        (unsent_request(404, "no turn q0"), (REFUSED, Cause.UNKNOWN_TURN)),
+        (unsent_request(400, "odd"), (REFUSED, Cause.OTHER_REJECTION)),
         (
-            unsent(503, "1 of 2 replicas answered in view 3", ledger_ms=SLOW),
-            (REFUSED, Why.LEDGER_SLOW),
+            unsent_request(429, "the quota of one is used up"),
+            (REFUSED, Cause.OVER_QUOTA),
         ),
-        (unsent(503, "no server is there"), (REFUSED, Why.NO_SERVER)),
-        (unsent(503, "no server has room"), (REFUSED, Why.SERVERS_FULL)),
-        (unsent(503, "status 429", servers=["s1"]), (REFUSED, Why.SERVERS_FULL)),
         (
-            unsent(503, "status 429", servers=["s1"], left_ms=0),
-            (REFUSED, Why.TIME_FIRST),
+            unsent_request(503, "none of 3 holders of the quota answered in view 7"),
+            (REFUSED, Cause.QUOTA_UNREACHABLE),
         ),
         (
-            unsent(503, "ConnectionRefusedError(111)", servers=["s1"]),
-            (REFUSED, Why.NO_CHANNEL),
+            unsent_request(503, "1 of 2 replicas answered in view 3"),
+            (REFUSED, Cause.LEDGER_UNREACHABLE),
         ),
-        (unsent(503, "no time left"), (REFUSED, Why.TIME_LEDGER)),
-        (unsent(503, "no time left", program=""), (REFUSED, Why.TIME_FIRST)),
-        (unsent(503, "a new reason"), (REFUSED, Why.OTHER)),
-        (ended(502, "channel lost: odd"), (FAILED, Why.SERVER_LOST)),
-        (ended(502), (FAILED, Why.SERVER_SAID)),
-        (ended(500), (FAILED, Why.SERVER_SAID)),
-        (ended(404), (FAILED, Why.SERVER_SAID)),
-        (ended(500, "status 503", servers=["s1", "s2"]), (FAILED, Why.SERVER_SAID)),
-        (ended(500, "a new reason"), (FAILED, Why.OTHER)),
-        (ended(504), (FAILED, Why.SERVER_SAID)),
-        (ended(504, "channel lost: odd"), (FAILED, Why.SERVER_SAID)),
-        (ended(504, "status 503", left_ms=-1), (FAILED, Why.TIME_FIRST)),
-        (ended(504, "no answer in time"), (FAILED, Why.TIME_FIRST)),
-        (ended(504, "no answer in time", ledger_ms=500.0), (FAILED, Why.TIME_LEDGER)),
-        (ended(0, "no answer in time", first_ms=50.0), (BROKEN_OFF, Why.TIME_REST)),
-        (ended(0, left_ms=0, first_ms=50.0), (BROKEN_OFF, Why.TIME_REST)),
-        (ended(0, "channel closed", left_ms=-3), (BROKEN_OFF, Why.TIME_FIRST)),
-        (ended(0, "the turn could not be kept"), (BROKEN_OFF, Why.NOT_KEPT)),
-        (ended(0, "channel closed"), (BROKEN_OFF, Why.SERVER_LOST)),
-        (ended(0), (BROKEN_OFF, Why.CALLER_LEFT)),
-        (ended(0, stopping_ms=40), (BROKEN_OFF, Why.STOPPING)),
         (
-            Denied(status=503, reason="the configuration is not known yet"),
-            (REFUSED, Why.NOT_CONFIGURED),
+            unsent_request(
+                503, "1 of 2 replicas answered in view 3", ledger_ms=SLOW_MS
+            ),
+            (REFUSED, Cause.LEDGER_SLOW),
         ),
+        (unsent_request(503, "no server is there"), (REFUSED, Cause.NO_SERVER)),
+        (unsent_request(503, "no server has room"), (REFUSED, Cause.SERVERS_FULL)),
         (
-            Denied(status=503, reason="no route known, version 3 may be old"),
-            (REFUSED, Why.NOT_CONFIGURED),
+            unsent_request(503, "status 429", servers=["s1"]),
+            (REFUSED, Cause.SERVERS_FULL),
         ),
         (
-            Denied(status=503, reason="no customer known, version 3 may be old"),
-            (REFUSED, Why.NOT_CONFIGURED),
+            unsent_request(503, "status 429", servers=["s1"], left_ms=0),
+            (REFUSED, Cause.OVERRUN_BEFORE_FIRST_EVENT),
         ),
         (
-            Denied(status=401, reason="no customer holds the key in version 3"),
-            (REFUSED, Why.NO_KEY),
+            unsent_request(503, "ConnectionRefusedError(111)", servers=["s1"]),
+            (REFUSED, Cause.NO_SERVER_CONNECTION),
         ),
+        (unsent_request(503, "no time left"), (REFUSED, Cause.OVERRUN_IN_LEDGER)),
         (
-            Denied(status=401, reason="one key is needed: Bearer KEY"),
-            (REFUSED, Why.NO_KEY),
+            unsent_request(503, "no time left", program=""),
+            (REFUSED, Cause.OVERRUN_BEFORE_FIRST_EVENT),
         ),
+        (unsent_request(503, "a new reason"), (REFUSED, Cause.UNRECOGNIZED)),
+        (sent_request(502, "channel lost: odd"), (FAILED, Cause.SERVER_DISCONNECTED)),
+        (sent_request(502), (FAILED, Cause.SERVER_RESPONSE)),
+        (sent_request(500), (FAILED, Cause.SERVER_RESPONSE)),
+        (sent_request(404), (FAILED, Cause.SERVER_RESPONSE)),
         (
-            Denied(status=404, reason="no route for a.example/x in version 3"),
-            (REFUSED, Why.UNKNOWN_ROUTE),
+            sent_request(500, "status 503", servers=["s1", "s2"]),
+            (FAILED, Cause.SERVER_RESPONSE),
         ),
+        (sent_request(500, "a new reason"), (FAILED, Cause.UNRECOGNIZED)),
+        (sent_request(504), (FAILED, Cause.SERVER_RESPONSE)),
+        (sent_request(504, "channel lost: odd"), (FAILED, Cause.SERVER_RESPONSE)),
         (
-            Denied(status=503, reason="this process is stopping"),
-            (REFUSED, Why.STOPPING),
+            sent_request(504, "status 503", left_ms=-1),
+            (FAILED, Cause.OVERRUN_BEFORE_FIRST_EVENT),
+        ),
+        (
+            sent_request(504, "no answer in time"),
+            (FAILED, Cause.OVERRUN_BEFORE_FIRST_EVENT),
+        ),
+        (
+            sent_request(504, "no answer in time", ledger_ms=500.0),
+            (FAILED, Cause.OVERRUN_IN_LEDGER),
+        ),
+        (
+            sent_request(0, "no answer in time", first_ms=50.0),
+            (BROKEN_OFF, Cause.OVERRUN_AFTER_FIRST_EVENT),
+        ),
+        (
+            sent_request(0, left_ms=0, first_ms=50.0),
+            (BROKEN_OFF, Cause.OVERRUN_AFTER_FIRST_EVENT),
+        ),
+        (
+            sent_request(0, "channel closed", left_ms=-3),
+            (BROKEN_OFF, Cause.OVERRUN_BEFORE_FIRST_EVENT),
+        ),
+        (
+            sent_request(0, "the turn could not be kept"),
+            (BROKEN_OFF, Cause.TURN_NOT_STORED),
+        ),
+        (sent_request(0, "channel closed"), (BROKEN_OFF, Cause.SERVER_DISCONNECTED)),
+        (sent_request(0), (BROKEN_OFF, Cause.CALLER_DISCONNECTED)),
+        (sent_request(0, stopping_ms=40), (BROKEN_OFF, Cause.RELAY_STOPPING)),
+        (
+            RequestRecord(status=503, reason="the configuration is not known yet"),
+            (REFUSED, Cause.NOT_CONFIGURED),
+        ),
+        (
+            RequestRecord(status=503, reason="no route known, version 3 may be old"),
+            (REFUSED, Cause.NOT_CONFIGURED),
+        ),
+        (
+            RequestRecord(status=503, reason="no customer known, version 3 may be old"),
+            (REFUSED, Cause.NOT_CONFIGURED),
+        ),
+        (
+            RequestRecord(status=401, reason="no customer holds the key in version 3"),
+            (REFUSED, Cause.NO_CUSTOMER_KEY),
+        ),
+        (
+            RequestRecord(status=401, reason="one key is needed: Bearer KEY"),
+            (REFUSED, Cause.NO_CUSTOMER_KEY),
+        ),
+        (
+            RequestRecord(status=404, reason="no route for a.example/x in version 3"),
+            (REFUSED, Cause.UNKNOWN_ROUTE),
+        ),
+        (
+            RequestRecord(status=503, reason="this process is stopping"),
+            (REFUSED, Cause.RELAY_STOPPING),
+        ),
+        (
+            RequestRecord(status=400, reason="two lengths"),
+            (REFUSED, Cause.OTHER_REJECTION),
         ),
-        (Denied(status=400, reason="two lengths"), (REFUSED, Why.DENIED)),
     ],
 )
-def test_each_reason(request_: Denied | Ended, expected: tuple[Outcome, Why]) -> None:
-    assert classify(request_, aim_s=1.0, is_cut=False) == Ending(*expected)
+def test_outcome_and_cause_of_each_reason(
+    request_record: RequestRecord | RoutedRequestRecord, expected: tuple[Outcome, Cause]
+) -> None:
+    assert classify(
+        request_record, target_latency_s=1.0, is_aborted=False
+    ) == Classification(*expected)
 
 
 @pytest.mark.parametrize(
-    ("aim_s", "fields", "expected"),
+    ("target_latency_s", "fields", "expected"),
     [
-        (None, {}, (Outcome.ANSWERED, Why.NO_AIM)),
-        (0.8, {}, (Outcome.IN_TIME, Why.WITHIN_AIM)),
-        (0.7, {}, (Outcome.LATE, Why.TIME_FIRST)),
-        (0.7, {"first_ms": 90.0}, (Outcome.LATE, Why.TIME_REST)),
-        (0.7, {"ledger_ms": SLOW}, (Outcome.LATE, Why.LEDGER_SLOW)),
-        # It would have been late with any ledger.
-        (0.1, {"ledger_ms": SLOW}, (Outcome.LATE, Why.TIME_FIRST)),
+        (None, {}, (Outcome.ANSWERED, Cause.NO_TARGET)),
+        (0.8, {}, (Outcome.IN_TIME, Cause.WITHIN_TARGET)),
+        (0.7, {}, (Outcome.LATE, Cause.OVERRUN_BEFORE_FIRST_EVENT)),
+        (0.7, {"first_ms": 90.0}, (Outcome.LATE, Cause.OVERRUN_AFTER_FIRST_EVENT)),
+        (0.7, {"ledger_ms": SLOW_MS}, (Outcome.LATE, Cause.LEDGER_SLOW)),
+        # Late even without the time spent in the ledger.
+        (0.1, {"ledger_ms": SLOW_MS}, (Outcome.LATE, Cause.OVERRUN_BEFORE_FIRST_EVENT)),
     ],
 )
-def test_answers_against_the_aim(
-    aim_s: float | None, fields: dict[str, Any], expected: tuple[Outcome, Why]
+def test_response_time_against_the_target(
+    target_latency_s: float | None,
+    fields: dict[str, Any],
+    expected: tuple[Outcome, Cause],
 ) -> None:
-    assert classify(ended(200, **fields), aim_s, is_cut=False) == Ending(*expected)
+    assert classify(
+        sent_request(200, **fields), target_latency_s, is_aborted=False
+    ) == Classification(*expected)
 
 
-def test_a_cut_relay_explains_only_what_nothing_else_does() -> None:
-    cut = classify(ended(0), None, is_cut=True)
-    over = classify(ended(0, left_ms=0), None, is_cut=True)
-    assert cut.why is Why.STOPPING
-    assert over.why is Why.TIME_FIRST
+def test_abort_is_the_cause_only_if_no_other_applies() -> None:
+    aborted = classify(sent_request(0), None, is_aborted=True)
+    timed_out = classify(sent_request(0, left_ms=0), None, is_aborted=True)
+    assert aborted.cause is Cause.RELAY_STOPPING
+    assert timed_out.cause is Cause.OVERRUN_BEFORE_FIRST_EVENT
 
 
-def test_an_answer_after_another_try_is_an_answer() -> None:
-    again = ended(200, "status 503", servers=["s1", "s2"])
-    assert classify(again, 1.0, is_cut=False).outcome is Outcome.IN_TIME
+def test_response_after_a_retry_is_in_time() -> None:
+    retried = sent_request(200, "status 503", servers=["s1", "s2"])
+    assert classify(retried, 1.0, is_aborted=False).outcome is Outcome.IN_TIME
 
 
 @pytest.mark.parametrize(
@@ -166,25 +218,25 @@
         {"status": 200, "took_ms": 1.0, "left_ms": 1, "servers": "s1"},
     ],
 )
-def test_a_line_with_wrong_fields_is_no_request(fields: dict[str, Any]) -> None:
-    assert decode_request(Line(1.0, "r1", REQUEST_LINES[0], fields)) is None
+def test_line_with_invalid_fields_is_not_decoded(fields: dict[str, Any]) -> None:
+    assert decode_request(LogLine(1.0, "r1", REQUEST_TEXTS[0], fields)) is None
 
 
-def test_relays_still_write_these_reasons() -> None:
-    sources = "".join(path.read_text("utf-8") for path in RELAY.glob("*.py"))
+def test_relays_write_these_reasons() -> None:
+    sources = "".join(path.read_text("utf-8") for path in RELAY_PACKAGE.glob("*.py"))
     for name in (
         "NO_CONFIGURATION",
-        "OLD_CONFIGURATION",
+        "STALE_ROUTES",
         "NO_ROUTE",
-        "LAST_CALL",
-        "NO_BUDGET",
-        "NO_TURN",
-        "FEW_REPLICAS",
-        "NOT_KEPT",
+        "PROCESS_STOPPING",
+        "BUDGET_EXHAUSTED",
+        "UNKNOWN_TURN",
+        "TOO_FEW_REPLICAS",
+        "TURN_NOT_STORED",
         "NO_SERVER",
-        "NO_ROOM",
-        "SAID_FULL",
-        "NO_ANSWER",
-        "NO_TIME",
+        "SERVERS_FULL",
+        "REJECTED_BY_SERVER",
+        "RESPONSE_TIMEOUT",
+        "NO_TIME_LEFT",
     ):
         assert getattr(endings, name) in sources, name
--- a/tests/operators/test_language.py
+++ b/tests/operators/test_language.py
@@ -1,4 +1,4 @@
-"""The operators' language: golden parses and errors."""
+"""Parses and error messages of the operators' language, as golden cases."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from wisteriastair.operators.language import parse
 
 GOLDEN = Path(__file__).parent / "golden" / "language.txt"
-PAGE = Path(__file__).parents[2] / "docs" / "operators" / "language.md"
+MANUAL = Path(__file__).parents[2] / "docs" / "operators" / "language.md"
 
 
 def parse_and_format(text: str) -> str:
@@ -24,9 +24,9 @@
 
 
 def documented_commands() -> list[str]:
-    """Commands that the operators' page shows; a deeper line goes on with one."""
+    """Return the commands in the manual; a line indented deeper continues a command."""
     commands: list[str] = []
-    for line in PAGE.read_text("utf-8").splitlines():
+    for line in MANUAL.read_text("utf-8").splitlines():
         if line.startswith("        ") and commands:
             commands[-1] += " " + line.strip()
         elif line.startswith("    "):
@@ -34,7 +34,7 @@
     return commands
 
 
-def test_documented_examples_are_commands() -> None:
+def test_documented_commands_parse() -> None:
     commands = documented_commands()
     assert len(commands) > 10
     for command in commands:
--- a/wisteriastair/main.py
+++ b/wisteriastair/main.py
@@ -257,8 +257,8 @@
         " ".join(words),
         url=url,
         token=token,
-        as_json=json,
-        change=change,
+        json_output=json,
+        change_id=change,
         ca_file=ca_file,
     )
 
--- a/wisteriastair/operators/api.py
+++ b/wisteriastair/operators/api.py
@@ -1,8 +1,8 @@
 """The operators' HTTP interface: ``POST /v1/operate`` with one command.
 
-The body is ``{"command": TEXT, "change": ID}``.  The id makes a change idempotent: an
-operator who lost the answer sends the same command with the same id again, and it is
-made at most once.
+The body is ``{"command": TEXT, "change": ID}``.  The id makes a change idempotent: if
+the response is lost, the operator sends the same command with the same id again, and
+the change is applied at most once.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from ..callers.auth import owner_of_token
 from ..callers.gateway import Gateway
 from ..errors import Code, Failure, error_body, http_status
-from .language import Edit, EditService, Explain, Show, change_of, parse
+from .language import Edit, EditService, Explain, Show, build_change, parse
 from .tables import (
     Table,
     config_table,
@@ -33,27 +33,27 @@
 )
 
 MAX_COMMAND_BYTES: Final = 64_000
-LIST_LIMIT: Final = 1_000
+MAX_LISTED_PROGRAMS: Final = 1_000
 
 log = logging.getLogger(__name__)
 
 
-class OperateBody(msgspec.Struct, forbid_unknown_fields=True):
-    """Body of a command."""
+class CommandBody(msgspec.Struct, forbid_unknown_fields=True):
+    """Body of a request with a command."""
 
     command: str
     change: str = ""
 
 
 class OperatorApi:
-    """Routes of the operators' interface.
+    """Handlers of the operators' interface.
 
     Parameters
     ----------
     gateway : Gateway
-        The entry behind it.
+        The entry that executes the commands.
     tokens : dict of str to str
-        Token of each operator.
+        Bearer token of each operator.
     """
 
     def __init__(self, gateway: Gateway, tokens: dict[str, str]) -> None:
@@ -61,40 +61,42 @@
         self._tokens = tokens
 
     def routes(self) -> list[Route]:
-        """Return the routes."""
+        """Return the routes of the interface."""
         return [Route("/v1/operate", self.operate, methods=["POST"])]
 
-    async def operate(self, http: Request) -> Response:
-        """Carry out one command."""
-        operator = owner_of_token(http, self._tokens)
+    async def operate(self, req: Request) -> Response:
+        """Execute one command."""
+        operator = owner_of_token(req, self._tokens)
         if not operator:
             failure = Failure(Code.UNAUTHORIZED, "no bearer token of an operator")
-            return _refusal(failure)
-        body = await read_body(http, MAX_COMMAND_BYTES)
+            return _error_response(failure)
+        body = await read_body(req, MAX_COMMAND_BYTES)
         if isinstance(body, Failure):
-            return _refusal(body)
+            return _error_response(body)
         try:
-            operate = msgspec.json.decode(body, type=OperateBody)
+            command_body = msgspec.json.decode(body, type=CommandBody)
         except (msgspec.DecodeError, UnicodeDecodeError) as exc:
-            return _refusal(Failure(Code.BAD_REQUEST, str(exc)))
-        command = parse(operate.command)
+            return _error_response(Failure(Code.BAD_REQUEST, str(exc)))
+        command = parse(command_body.command)
         match command:
             case Failure():
-                return _refusal(command)
+                return _error_response(command)
             case Show():
-                return _table_answer(await self._show(command))
+                return _table_response(await self._show(command))
             case Explain():
-                return _table_answer(await self._explain(command))
+                return _table_response(await self._explain(command))
             case EditService() | Edit():
-                change_id = operate.change or uuid.uuid4().hex
-                log.info("command: %s", operate.command, extra={"operator": operator})
+                change_id = command_body.change or uuid.uuid4().hex
+                log.info(
+                    "command: %s", command_body.command, extra={"operator": operator}
+                )
                 return await self._edit(command, change_id)
 
     async def _show(self, show: Show) -> Table | Failure:
         revision, config = self._gateway.config()
         match show.noun:
             case "programs":
-                listed = await self._gateway.list_programs("", LIST_LIMIT)
+                listed = await self._gateway.list_programs("", MAX_LISTED_PROGRAMS)
                 table = program_table(listed.rows, listed.missing)
             case "services":
                 table = service_table(config)
@@ -109,41 +111,41 @@
         return filter_table(table, show.conditions, show.limit)
 
     async def _explain(self, explain: Explain) -> Table | Failure:
-        """List a program and its sub-agents, a fact a line."""
-        listed = await self._gateway.list_programs("", LIST_LIMIT)
-        family = [
+        """Return the fields of a program and its sub-agents, one field per row."""
+        listed = await self._gateway.list_programs("", MAX_LISTED_PROGRAMS)
+        family_rows = [
             row
             for row in listed.rows
             if row.program == explain.program
             or row.program.startswith(explain.program + ".")
         ]
-        if not family:
+        if not family_rows:
             return Failure(Code.UNKNOWN_PROGRAM, f"no program {explain.program}")
-        facts = tuple(
+        cells = tuple(
             (row.program, name, str(value))
-            for row in family
+            for row in family_rows
             for name, value in zip(row._fields[1:], row[1:], strict=True)
         )
-        return Table(("program", "fact", "value"), facts)
+        return Table(("program", "fact", "value"), cells)
 
     async def _edit(self, command: EditService | Edit, change_id: str) -> Response:
         outcome = await self._gateway.change(
             change_id,
-            lambda config: change_of(command, change_id, config.services),
+            lambda config: build_change(command, change_id, config.services),
             command.expected,
         )
         if isinstance(outcome, Failure):
-            return _refusal(outcome)
+            return _error_response(outcome)
         return JSONResponse({"revision": outcome, "change": change_id})
 
 
-def _table_answer(table: Table | Failure) -> Response:
+def _table_response(table: Table | Failure) -> Response:
     if isinstance(table, Failure):
-        return _refusal(table)
+        return _error_response(table)
     body = {"columns": table.columns, "rows": table.rows, "note": table.note}
     return JSONResponse(body)
 
 
-def _refusal(failure: Failure) -> Response:
+def _error_response(failure: Failure) -> Response:
     body = {**error_body(failure), "column": failure.column}
     return JSONResponse(body, status_code=http_status(failure.code))
--- a/wisteriastair/operators/changes.py
+++ b/wisteriastair/operators/changes.py
@@ -1,10 +1,10 @@
-"""Making a change of configuration: accepted means confirmed.
+"""Apply a configuration change so that an accepted change is a confirmed one.
 
-A change is a compare-and-swap of the whole configuration document.  The answer
-"accepted" is given only after the key-value service has confirmed the write, or after
-this change's id was read back from it.  When an answer is lost, the write may still be
-on its way, so the same write is sent again from the same base revision: at most one
-of the two can take effect, and reading the document tells whether one has.
+A change is a compare-and-swap of the whole configuration document.  It is reported as
+accepted only after the key-value service has confirmed the write, or after the id of
+the change was read back from it.  If a response is lost, the write may still be in
+flight.  The same write is then sent again from the same base revision: at most one of
+the two can take effect, and reading the document shows whether one did.
 """
 
 from __future__ import annotations
@@ -28,16 +28,24 @@
 from ..errors import Code, Failure
 from ..platform.kv import KeyValueStore
 
-TRIES: Final = 12
-RETRY_S: Final = 0.05
-RETRY_MAX_S: Final = 1.0
-NO_DOUBT: Final = -1
+MAX_ATTEMPTS: Final = 12
+RETRY_DELAY_S: Final = 0.05
+MAX_RETRY_DELAY_S: Final = 1.0
+NO_UNCONFIRMED_WRITE: Final = -1
 
-MakeChange = Callable[[Config], Change]
+ChangeBuilder = Callable[[Config], Change]
 
 
-class Accepted:
-    """A change that is confirmed, with the document that carries it."""
+class ConfirmedChange:
+    """A confirmed change.
+
+    Parameters
+    ----------
+    revision : int
+        Revision of the document that contains the change.
+    value : bytes
+        The document.
+    """
 
     def __init__(self, revision: int, value: bytes) -> None:
         self.revision = revision
@@ -45,81 +53,86 @@
 
 
 async def make_change(
-    key_value: KeyValueStore, change_id: str, make: MakeChange, expected: int
-) -> Accepted | Failure:
-    """Make one change.
+    key_value: KeyValueStore, change_id: str, build_change: ChangeBuilder, expected: int
+) -> ConfirmedChange | Failure:
+    """Apply one change.
 
     Parameters
     ----------
     key_value : KeyValueStore
-        The platform's service.
+        The key-value service of the platform.
     change_id : str
-        Unique id, by which the change is recognised when read back.
-    make : callable
-        Builds the change for the configuration it is applied to.
+        Unique id that identifies the change when the document is read back.
+    build_change : callable
+        Function that builds the change for the configuration it is applied to.
     expected : int
-        Revision that the operator has seen, or 0 for any.
+        Revision that the document must have, or 0 for any.
 
     Returns
     -------
     Accepted or Failure
-        A failure's ``ran`` is ``no`` if the change certainly is not in force and
-        never will be, ``unknown`` if that cannot be told.
+        ``ran`` of a failure is ``no`` if the change did not and will not take effect,
+        and ``unknown`` if this cannot be determined.
     """
-    doubted = NO_DOUBT
-    for attempt in range(TRIES):
-        await anyio.sleep(_delay(change_id, attempt))
-        read = await key_value.read(CONFIG_KEY)
-        if isinstance(read, KvUnknown):
+    unconfirmed_base = NO_UNCONFIRMED_WRITE
+    for attempt in range(MAX_ATTEMPTS):
+        await anyio.sleep(_retry_delay_s(change_id, attempt))
+        current = await key_value.read(CONFIG_KEY)
+        if isinstance(current, KvUnknown):
             continue
-        if read.revision != doubted and change_id not in _changes_in(read):
-            # The doubted write's base is gone and it is not there, so it never will be.
-            doubted = NO_DOUBT
-        outcome = await _try_once(key_value, read, change_id, make, expected)
-        if isinstance(outcome, Accepted | Failure):
+        if current.revision != unconfirmed_base and change_id not in _change_ids(
+            current
+        ):
+            # The unconfirmed write had no effect and can have none later, since its
+            # base revision has been replaced.
+            unconfirmed_base = NO_UNCONFIRMED_WRITE
+        outcome = await _attempt_change(
+            key_value, current, change_id, build_change, expected
+        )
+        if isinstance(outcome, ConfirmedChange | Failure):
             return outcome
         if isinstance(outcome, KvUnknown):
-            doubted = read.revision
-    if doubted != NO_DOUBT:
+            unconfirmed_base = current.revision
+    if unconfirmed_base != NO_UNCONFIRMED_WRITE:
         detail = f"the platform did not confirm change {change_id}; look again"
-        return Failure(Code.OUTCOME_UNKNOWN, detail, "unknown", RETRY_MAX_S)
+        return Failure(Code.OUTCOME_UNKNOWN, detail, "unknown", MAX_RETRY_DELAY_S)
     detail = "the platform's key-value service does not answer"
     return Failure(Code.PLATFORM_DOWN, detail, "no", 5.0)
 
 
-def _changes_in(read: KvValue) -> tuple[str, ...]:
-    return decode_config(read.value).changes
+def _change_ids(document: KvValue) -> tuple[str, ...]:
+    return decode_config(document.value).changes
 
 
-async def _try_once(
+async def _attempt_change(
     key_value: KeyValueStore,
-    read: KvValue,
+    current: KvValue,
     change_id: str,
-    make: MakeChange,
+    build_change: ChangeBuilder,
     expected: int,
-) -> Accepted | Failure | KvConflict | KvUnknown:
-    config = decode_config(read.value)
+) -> ConfirmedChange | Failure | KvConflict | KvUnknown:
+    config = decode_config(current.value)
     if change_id in config.changes:
-        return Accepted(read.revision, read.value)
-    if expected and expected != read.revision:
-        detail = f"the configuration is at revision {read.revision}, not {expected}"
+        return ConfirmedChange(current.revision, current.value)
+    if expected and expected != current.revision:
+        detail = f"the configuration is at revision {current.revision}, not {expected}"
         return Failure(Code.CONFLICT, detail)
-    changed = apply_change(config, make(config))
+    changed = apply_change(config, build_change(config))
     if isinstance(changed, Failure):
         return changed
     value = encode_config(changed)
     if len(value) > MAX_CONFIG_BYTES:
         detail = f"the configuration would be over {MAX_CONFIG_BYTES} bytes"
         return Failure(Code.TOO_LARGE, detail)
-    written = await key_value.swap(CONFIG_KEY, read.revision, value)
-    if isinstance(written, KvWritten):
-        return Accepted(written.revision, value)
-    return written
+    swap_result = await key_value.swap(CONFIG_KEY, current.revision, value)
+    if isinstance(swap_result, KvWritten):
+        return ConfirmedChange(swap_result.revision, value)
+    return swap_result
 
 
-def _delay(change_id: str, attempt: int) -> float:
-    """Grow the wait with each attempt, with jitter against racing operators."""
+def _retry_delay_s(change_id: str, attempt: int) -> float:
+    """Return an exponential backoff with jitter, to separate concurrent operators."""
     if attempt == 0:
         return 0.0
-    delay: float = min(RETRY_MAX_S, RETRY_S * 2**attempt)
-    return delay * (0.5 + hash64(change_id, str(attempt)) % 1000 / 1000)
+    delay_s: float = min(MAX_RETRY_DELAY_S, RETRY_DELAY_S * 2**attempt)
+    return delay_s * (0.5 + hash64(change_id, str(attempt)) % 1000 / 1000)
--- a/wisteriastair/operators/ctl.py
+++ b/wisteriastair/operators/ctl.py
@@ -11,17 +11,23 @@
 
 from .tables import Table, format_table
 
-CONNECT_S: Final = 3.0
-ANSWER_S: Final = 30.0
+CONNECT_TIMEOUT_S: Final = 3.0
+RESPONSE_TIMEOUT_S: Final = 30.0
 EXIT_OK: Final = 0
-EXIT_REFUSED: Final = 1
-EXIT_NO_ANSWER: Final = 3
+EXIT_REJECTED: Final = 1
+EXIT_NO_RESPONSE: Final = 3
 
 
 def run_command(
-    command: str, *, url: str, token: str, as_json: bool, change: str, ca_file: str
+    command: str,
+    *,
+    url: str,
+    token: str,
+    json_output: bool,
+    change_id: str,
+    ca_file: str,
 ) -> int:
-    """Send one command to an entry and print the answer.
+    """Send one command to an entry and print the response.
 
     Parameters
     ----------
@@ -31,53 +37,55 @@
         Base URL of any entry.
     token : str
         The operator's bearer token.
-    as_json : bool
-        Print the answer's JSON instead of a table.
-    change : str
-        Id of the change, to repeat a command whose answer was lost; empty for a new
-        one.
+    json_output : bool
+        Print the JSON body of the response instead of a table.
+    change_id : str
+        Id of the change, to repeat a command whose response was lost; empty for a
+        new id.
     ca_file : str
-        Certificate of the authority that signed the entry's; empty for the system's.
+        Certificate of the authority that signed the entry's certificate; empty for
+        the authorities of the system.
 
     Returns
     -------
     int
-        Exit status: 0 done, 1 refused, 3 no answer.
+        Exit status: 0 if the command succeeded, 1 if it was rejected, 3 if there was
+        no valid response.
     """
-    change = change or uuid.uuid4().hex
-    timeout = httpx.Timeout(ANSWER_S, connect=CONNECT_S)
+    change_id = change_id or uuid.uuid4().hex
+    timeout = httpx.Timeout(RESPONSE_TIMEOUT_S, connect=CONNECT_TIMEOUT_S)
     try:
-        answer = httpx.post(
+        response = httpx.post(
             f"{url}/v1/operate",
-            json={"command": command, "change": change},
+            json={"command": command, "change": change_id},
             headers={"authorization": f"Bearer {token}"},
             timeout=timeout,
             verify=ca_file or True,
         )
-        body = answer.json()
+        body = response.json()
     except (httpx.HTTPError, json.JSONDecodeError) as exc:
         print(f"no answer from {url}: {exc!r}", file=sys.stderr)
-        print(f"to ask again safely: --change {change}", file=sys.stderr)
-        return EXIT_NO_ANSWER
-    if as_json:
+        print(f"to ask again safely: --change {change_id}", file=sys.stderr)
+        return EXIT_NO_RESPONSE
+    if json_output:
         print(json.dumps(body))
-    if answer.status_code != httpx.codes.OK:
-        if not as_json:
-            _print_refusal(command, body)
-        return EXIT_REFUSED
-    if not as_json:
-        print(_readable(body))
+    if response.status_code != httpx.codes.OK:
+        if not json_output:
+            _print_error(command, body)
+        return EXIT_REJECTED
+    if not json_output:
+        print(_format_body(body))
     return EXIT_OK
 
 
-def _readable(body: dict[str, Any]) -> str:
+def _format_body(body: dict[str, Any]) -> str:
     if "columns" in body:
         rows = tuple(tuple(row) for row in body["rows"])
         return format_table(Table(tuple(body["columns"]), rows, body["note"]))
     return f"accepted at revision {body['revision']} (change {body['change']})"
 
 
-def _print_refusal(command: str, body: dict[str, Any]) -> None:
+def _print_error(command: str, body: dict[str, Any]) -> None:
     column = body.get("column", 0)
     if column:
         print(command, file=sys.stderr)
--- a/wisteriastair/operators/endings.py
+++ b/wisteriastair/operators/endings.py
@@ -1,8 +1,9 @@
-"""How a request ended and why, from the fields of its log line alone.
+"""Classify requests by outcome and cause, from the fields of their log lines.
 
-The aim of a route is not in the line.  Some ends leave the same fields behind: a caller
-that left looks like one whose relay was cut by the end of its grace period, so the
-second is told by another line of that relay, and by `stopping_ms`.
+The target latency of a route is not part of the line.  Some causes leave the same
+fields: a request whose caller disconnected looks like one that its relay aborted at the
+end of the grace period.  The second is recognized by another line of that relay, or by
+the field ``stopping_ms``.
 """
 
 from __future__ import annotations
@@ -13,39 +14,39 @@
 import msgspec
 
 from ..relay.streams import RESERVE_TIMEOUT_S
-from .trace import MS_PER_S, REQUEST_LINES, Line
+from .trace import MS_PER_S, REQUEST_TEXTS, LogLine
 
-# A reservation that takes longer is slow, in ms: half of the wait after which a relay
-# gives it up.
+# A reservation that takes longer than this is slow: half of the timeout after which a
+# relay gives it up.
 SLOW_LEDGER_MS: Final = RESERVE_TIMEOUT_S / 2 * MS_PER_S
-# What relays write as a reason, in full or in part.
+# Texts, or parts of them, that relays write into the field ``reason``.
 NO_CONFIGURATION: Final = "the configuration is not known yet"
-OLD_CONFIGURATION: Final = "no route known, version "
+STALE_ROUTES: Final = "no route known, version "
 NO_ROUTE: Final = "no route for "
-LAST_CALL: Final = "this process is stopping"
-NO_BUDGET: Final = " tokens are taken"
-NO_TURN: Final = "no turn "
-FEW_REPLICAS: Final = " replicas answered in view "
-NO_KEY: Final = "one key is needed"
-STRANGE_KEY: Final = "no customer holds the key in version "
-OLD_CUSTOMERS: Final = "no customer known, version "
+PROCESS_STOPPING: Final = "this process is stopping"
+BUDGET_EXHAUSTED: Final = " tokens are taken"
+UNKNOWN_TURN: Final = "no turn "
+TOO_FEW_REPLICAS: Final = " replicas answered in view "
+KEY_REQUIRED: Final = "one key is needed"
+UNKNOWN_KEY: Final = "no customer holds the key in version "
+STALE_CUSTOMERS: Final = "no customer known, version "
 OVER_QUOTA: Final = "the quota of "
-NO_HOLDER: Final = " holders of the quota answered in view "
-NOT_KEPT: Final = "the turn could not be kept"
+QUOTA_UNREACHABLE: Final = " holders of the quota answered in view "
+TURN_NOT_STORED: Final = "the turn could not be kept"
 NO_SERVER: Final = "no server is there"
-NO_ROOM: Final = "no server has room"
-SAID_FULL: Final = "status "
-NO_ANSWER: Final = "no answer in time"
-NO_TIME: Final = "no time left"
-# Statuses: those with which a server has answered, and those that relays give.
-ANSWERED: Final = range(200, 400)
-SERVER_LOST: Final = 502
-UNAVAILABLE: Final = 503
-TIMED_OUT: Final = 504
+SERVERS_FULL: Final = "no server has room"
+REJECTED_BY_SERVER: Final = "status "
+RESPONSE_TIMEOUT: Final = "no answer in time"
+NO_TIME_LEFT: Final = "no time left"
+# HTTP statuses of successful responses, and those that relays send themselves.
+SUCCESS_STATUSES: Final = range(200, 400)
+BAD_GATEWAY: Final = 502
+SERVICE_UNAVAILABLE: Final = 503
+GATEWAY_TIMEOUT: Final = 504
 
 
 class Outcome(StrEnum):
-    """What a caller got."""
+    """The result of a request, as its caller sees it."""
 
     IN_TIME = "in time"
     ANSWERED = "answered"
@@ -55,57 +56,61 @@
     BROKEN_OFF = "broken off"
 
 
-LOST: Final = frozenset(
+LOST_OUTCOMES: Final = frozenset(
     (Outcome.LATE, Outcome.REFUSED, Outcome.FAILED, Outcome.BROKEN_OFF)
 )
 
 
-class Why(StrEnum):
-    """Why it got that."""
+class Cause(StrEnum):
+    """The cause of an outcome."""
 
-    WITHIN_AIM = "within its aim"
-    NO_AIM = "its route has no aim"
-    LEDGER_AWAY = "ledger out of reach"
+    WITHIN_TARGET = "within its aim"
+    NO_TARGET = "its route has no aim"
+    LEDGER_UNREACHABLE = "ledger out of reach"
     LEDGER_SLOW = "ledger slow"
-    NOT_KEPT = "ledger did not keep the turn"
+    TURN_NOT_STORED = "ledger did not keep the turn"
     NO_SERVER = "no server"
     SERVERS_FULL = "servers full"
-    NO_CHANNEL = "no channel to a server"
-    SERVER_LOST = "server lost"
-    SERVER_SAID = "the server's own answer"
-    CALLER_LEFT = "caller left"
-    TIME_LEDGER = "time over: ledger"
-    TIME_FIRST = "time over: first event"
-    TIME_REST = "time over: rest of the answer"
-    STOPPING = "relay stopping"
+    NO_SERVER_CONNECTION = "no channel to a server"
+    SERVER_DISCONNECTED = "server lost"
+    SERVER_RESPONSE = "the server's own answer"
+    CALLER_DISCONNECTED = "caller left"
+    OVERRUN_IN_LEDGER = "time over: ledger"
+    OVERRUN_BEFORE_FIRST_EVENT = "time over: first event"
+    OVERRUN_AFTER_FIRST_EVENT = "time over: rest of the answer"
+    RELAY_STOPPING = "relay stopping"
     NOT_CONFIGURED = "not configured"
     UNKNOWN_ROUTE = "unknown route"
-    BUDGET = "budget spent"
+    BUDGET_EXHAUSTED = "budget spent"
     UNKNOWN_TURN = "unknown turn"
-    NO_KEY = "no customer's key"
+    NO_CUSTOMER_KEY = "no customer's key"
     OVER_QUOTA = "quota used up"
-    QUOTA_AWAY = "quota's holders out of reach"
-    DENIED = "denied for another reason"
-    OTHER = "reason not known to this command"
+    QUOTA_UNREACHABLE = "quota's holders out of reach"
+    OTHER_REJECTION = "denied for another reason"
+    UNRECOGNIZED = "reason not known to this command"
 
 
-class Ending(NamedTuple):
-    """How a request ended."""
+class Classification(NamedTuple):
+    """Outcome of a request and its cause."""
 
     outcome: Outcome
-    why: Why
+    cause: Cause
 
 
-class Denied(msgspec.Struct, kw_only=True):
-    """A request that got no route or could not be read."""
+class RequestRecord(msgspec.Struct, kw_only=True):
+    """Fields of the log line of a request that was invalid or got no route."""
 
     status: int
     request: str = ""
     reason: str = ""
 
 
-class Ended(Denied, kw_only=True):
-    """A request that had a route; times in ms, `status` 0 if it broke off."""
+class RoutedRequestRecord(RequestRecord, kw_only=True):
+    """Fields of the log line of a request that got a route.
+
+    Times are in ms.  ``status`` is 0 if the connection closed before the response was
+    complete.
+    """
 
     took_ms: float
     left_ms: float
@@ -119,124 +124,138 @@
     stopping_ms: float | None = None
 
 
-def decode_request(line: Line) -> Denied | Ended | None:
-    """Decode the line of a request; None if a field is missing or of another kind."""
-    kind = Denied if line.text == REQUEST_LINES[-1] else Ended
+def decode_request(line: LogLine) -> RequestRecord | RoutedRequestRecord | None:
+    """Decode a request line; None if a field is missing or has the wrong type."""
+    record_type = (
+        RequestRecord if line.text == REQUEST_TEXTS[-1] else RoutedRequestRecord
+    )
     try:
-        return msgspec.convert(line.fields, kind)
+        return msgspec.convert(line.fields, record_type)
     except msgspec.ValidationError:
         return None
 
 
-def classify(request: Denied | Ended, aim_s: float | None, is_cut: bool) -> Ending:
-    """Tell how a request ended and why.
+def classify(
+    request: RequestRecord | RoutedRequestRecord,
+    target_latency_s: float | None,
+    is_aborted: bool,
+) -> Classification:
+    """Determine the outcome of a request and its cause.
 
     Parameters
     ----------
-    request : Denied or Ended
-        Fields of its line.
-    aim_s : float or None
-        Seconds in which its route's answers are to be whole; None for no aim.
-    is_cut : bool
-        Whether its relay has just said that it ends before all is done.
+    request : RequestRecord or RoutedRequestRecord
+        Fields of the request line.
+    target_latency_s : float or None
+        Target latency of the route for complete responses, in seconds; None if the
+        route has none.
+    is_aborted : bool
+        Whether the relay has just aborted its remaining requests.
     """
-    if not isinstance(request, Ended):
-        return Ending(Outcome.REFUSED, _why_denied(request))
+    if not isinstance(request, RoutedRequestRecord):
+        return Classification(Outcome.REFUSED, _unrouted_cause(request))
     if request.status == 0:
-        return Ending(Outcome.BROKEN_OFF, _why_broken_off(request, is_cut))
-    if request.status in ANSWERED:
-        return _answered(request, aim_s)
+        return Classification(
+            Outcome.BROKEN_OFF, _interruption_cause(request, is_aborted)
+        )
+    if request.status in SUCCESS_STATUSES:
+        return _classify_success(request, target_latency_s)
     if not request.sent:
-        return Ending(Outcome.REFUSED, _why_refused(request))
-    return Ending(Outcome.FAILED, _why_failed(request))
-
-
-def _answered(request: Ended, aim_s: float | None) -> Ending:
-    if aim_s is None:
-        return Ending(Outcome.ANSWERED, Why.NO_AIM)
-    aim_ms = aim_s * MS_PER_S
-    if request.took_ms <= aim_ms:
-        return Ending(Outcome.IN_TIME, Why.WITHIN_AIM)
+        return Classification(Outcome.REFUSED, _refusal_cause(request))
+    return Classification(Outcome.FAILED, _failure_cause(request))
+
+
+def _classify_success(
+    request: RoutedRequestRecord, target_latency_s: float | None
+) -> Classification:
+    if target_latency_s is None:
+        return Classification(Outcome.ANSWERED, Cause.NO_TARGET)
+    target_latency_ms = target_latency_s * MS_PER_S
+    if request.took_ms <= target_latency_ms:
+        return Classification(Outcome.IN_TIME, Cause.WITHIN_TARGET)
     ledger_ms = request.ledger_ms
-    if ledger_ms > SLOW_LEDGER_MS and request.took_ms - ledger_ms <= aim_ms:
-        return Ending(Outcome.LATE, Why.LEDGER_SLOW)
-    return Ending(Outcome.LATE, _longest_part(request))
+    if ledger_ms > SLOW_LEDGER_MS and request.took_ms - ledger_ms <= target_latency_ms:
+        return Classification(Outcome.LATE, Cause.LEDGER_SLOW)
+    return Classification(Outcome.LATE, _longest_phase(request))
 
 
-def _why_denied(request: Denied) -> Why:
+def _unrouted_cause(request: RequestRecord) -> Cause:
     reason = request.reason
-    if reason.startswith((NO_KEY, STRANGE_KEY)):
-        return Why.NO_KEY
-    if reason == NO_CONFIGURATION or reason.startswith(
-        (OLD_CONFIGURATION, OLD_CUSTOMERS)
-    ):
-        return Why.NOT_CONFIGURED
+    if reason.startswith((KEY_REQUIRED, UNKNOWN_KEY)):
+        return Cause.NO_CUSTOMER_KEY
+    if reason == NO_CONFIGURATION or reason.startswith((STALE_ROUTES, STALE_CUSTOMERS)):
+        return Cause.NOT_CONFIGURED
     if reason.startswith(NO_ROUTE):
-        return Why.UNKNOWN_ROUTE
-    if reason == LAST_CALL:
-        return Why.STOPPING
-    return Why.DENIED
+        return Cause.UNKNOWN_ROUTE
+    if reason == PROCESS_STOPPING:
+        return Cause.RELAY_STOPPING
+    return Cause.OTHER_REJECTION
 
 
-def _why_refused(request: Ended) -> Why:
+def _refusal_cause(request: RoutedRequestRecord) -> Cause:
     reason = request.reason
-    if request.status != UNAVAILABLE:
+    if request.status != SERVICE_UNAVAILABLE:
         if reason.startswith(OVER_QUOTA):
-            return Why.OVER_QUOTA
-        if reason.endswith(NO_BUDGET):
-            return Why.BUDGET
-        return Why.UNKNOWN_TURN if reason.startswith(NO_TURN) else Why.DENIED
-    if FEW_REPLICAS in reason:
-        waited = request.ledger_ms > SLOW_LEDGER_MS
-        return Why.LEDGER_SLOW if waited else Why.LEDGER_AWAY
-    if NO_HOLDER in reason:
-        return Why.QUOTA_AWAY
+            return Cause.OVER_QUOTA
+        if reason.endswith(BUDGET_EXHAUSTED):
+            return Cause.BUDGET_EXHAUSTED
+        return (
+            Cause.UNKNOWN_TURN
+            if reason.startswith(UNKNOWN_TURN)
+            else Cause.OTHER_REJECTION
+        )
+    if TOO_FEW_REPLICAS in reason:
+        is_slow = request.ledger_ms > SLOW_LEDGER_MS
+        return Cause.LEDGER_SLOW if is_slow else Cause.LEDGER_UNREACHABLE
+    if QUOTA_UNREACHABLE in reason:
+        return Cause.QUOTA_UNREACHABLE
     if reason == NO_SERVER:
-        return Why.NO_SERVER
-    # The reason of a server that was tried before stays when the time is over.
-    if reason == NO_TIME or request.left_ms <= 0:
-        return _longest_part(request)
-    if reason == NO_ROOM or reason.startswith(SAID_FULL):
-        return Why.SERVERS_FULL
-    return Why.NO_CHANNEL if request.servers else Why.OTHER
+        return Cause.NO_SERVER
+    # After a timeout the reason may still be that of a server tried earlier.
+    if reason == NO_TIME_LEFT or request.left_ms <= 0:
+        return _longest_phase(request)
+    if reason == SERVERS_FULL or reason.startswith(REJECTED_BY_SERVER):
+        return Cause.SERVERS_FULL
+    return Cause.NO_SERVER_CONNECTION if request.servers else Cause.UNRECOGNIZED
 
 
-def _why_failed(request: Ended) -> Why:
+def _failure_cause(request: RoutedRequestRecord) -> Cause:
     if not request.reason:
-        return Why.SERVER_SAID
-    if request.status == TIMED_OUT:
-        over = request.reason == NO_ANSWER or request.left_ms <= 0
-        return _longest_part(request) if over else Why.SERVER_SAID
-    if request.status == SERVER_LOST:
-        return Why.SERVER_LOST
-    # The reason is that of a server that was tried before the one that answered.
-    return Why.SERVER_SAID if len(request.servers) > 1 else Why.OTHER
-
-
-def _why_broken_off(request: Ended, is_cut: bool) -> Why:
-    if request.reason == NOT_KEPT:
-        return Why.NOT_KEPT
-    if request.reason == NO_ANSWER or request.left_ms <= 0:
-        return _longest_part(request)
+        return Cause.SERVER_RESPONSE
+    if request.status == GATEWAY_TIMEOUT:
+        is_timeout = request.reason == RESPONSE_TIMEOUT or request.left_ms <= 0
+        return _longest_phase(request) if is_timeout else Cause.SERVER_RESPONSE
+    if request.status == BAD_GATEWAY:
+        return Cause.SERVER_DISCONNECTED
+    # The reason belongs to a server tried before the one that responded.
+    return Cause.SERVER_RESPONSE if len(request.servers) > 1 else Cause.UNRECOGNIZED
+
+
+def _interruption_cause(request: RoutedRequestRecord, is_aborted: bool) -> Cause:
+    if request.reason == TURN_NOT_STORED:
+        return Cause.TURN_NOT_STORED
+    if request.reason == RESPONSE_TIMEOUT or request.left_ms <= 0:
+        return _longest_phase(request)
     if request.reason:
-        return Why.SERVER_LOST
-    if is_cut or request.stopping_ms is not None:
-        return Why.STOPPING
-    return Why.CALLER_LEFT
+        return Cause.SERVER_DISCONNECTED
+    if is_aborted or request.stopping_ms is not None:
+        return Cause.RELAY_STOPPING
+    return Cause.CALLER_DISCONNECTED
 
 
-def _longest_part(request: Ended) -> Why:
-    """Tell where most of a request's time went.
+def _longest_phase(request: RoutedRequestRecord) -> Cause:
+    """Return the phase that took most of the time of a request.
 
-    An answer without events is whole at once; its time counts as up to the first one.
-    A program's request that came to no server was held up by its reservation.
+    A response without events has no streaming phase: its whole time counts as time
+    before the first event.  A program's request that was sent to no server spent its
+    time on the reservation.
     """
     if request.program and not request.servers:
-        return Why.TIME_LEDGER
+        return Cause.OVERRUN_IN_LEDGER
     first_ms = request.first_ms or request.took_ms
-    parts = {
-        Why.TIME_LEDGER: request.ledger_ms,
-        Why.TIME_FIRST: first_ms - request.ledger_ms,
-        Why.TIME_REST: request.took_ms - first_ms,
+    phases_ms = {
+        Cause.OVERRUN_IN_LEDGER: request.ledger_ms,
+        Cause.OVERRUN_BEFORE_FIRST_EVENT: first_ms - request.ledger_ms,
+        Cause.OVERRUN_AFTER_FIRST_EVENT: request.took_ms - first_ms,
     }
-    return max(parts, key=lambda why: parts[why])
+    return max(phases_ms, key=lambda cause: phases_ms[cause])
--- a/wisteriastair/operators/language.py
+++ b/wisteriastair/operators/language.py
@@ -1,7 +1,7 @@
-"""Parsing the operators' query and command language.
+"""Parser of the operators' query and command language.
 
-The grammar stands in ``language.lark``.  A text becomes one typed command, or a
-failure that points at the column and says what was expected there.
+The grammar is in ``language.lark``.  A text is parsed into one typed command, or into a
+failure with the column of the error and the tokens expected there.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from ..errors import Code, Failure
 
 DEFAULT_LIMIT: Final = 50
-WHOLE_NUMBERS: Final = ("budget", "priority", "max_turns", "max_tokens")
+INTEGER_SETTINGS: Final = ("budget", "priority", "max_turns", "max_tokens")
 
 
 class Condition(NamedTuple):
@@ -38,7 +38,7 @@
 
 
 class Show(NamedTuple):
-    """A query."""
+    """A query that lists one kind of object."""
 
     noun: str
     conditions: tuple[Condition, ...]
@@ -46,7 +46,7 @@
 
 
 class Explain(NamedTuple):
-    """Ask for everything known of one program."""
+    """A query for all fields of one program and its sub-agents."""
 
     program: str
 
@@ -59,7 +59,7 @@
 
 
 class EditService(NamedTuple):
-    """Create a service, or change some of its settings."""
+    """A command that creates a service or changes some of its settings."""
 
     create: bool
     name: str
@@ -68,7 +68,7 @@
 
 
 class Edit(NamedTuple):
-    """Any other change, complete but for its id."""
+    """A command with any other change; the id of the change is still empty."""
 
     change: Change
     expected: int
@@ -77,8 +77,8 @@
 Command = Show | Explain | EditService | Edit
 
 
-class _Builder(Transformer[Token, Any]):
-    """Builds commands from the parse tree."""
+class _CommandBuilder(Transformer[Token, Any]):
+    """Builds a command from the parse tree, with one method for each rule."""
 
     def start(self, items: list[Any]) -> Any:
         return items[0]
@@ -114,7 +114,7 @@
     def number_setting(self, items: list[Any]) -> Setting:
         name = str(items[0])
         number = float(items[1])
-        return Setting(name, int(number) if name in WHOLE_NUMBERS else number)
+        return Setting(name, int(number) if name in INTEGER_SETTINGS else number)
 
     def models(self, items: list[Any]) -> Setting:
         return Setting("models", items[0])
@@ -134,24 +134,24 @@
 
     def _edit(self, items: list[Any], *, create: bool) -> EditService:
         settings = tuple(item for item in items if isinstance(item, Setting))
-        return EditService(create, str(items[0]), settings, _guard_of(items))
+        return EditService(create, str(items[0]), settings, _expected_revision(items))
 
     def drop(self, items: list[Any]) -> Edit:
-        return Edit(DropService("", str(items[0])), _guard_of(items))
+        return Edit(DropService("", str(items[0])), _expected_revision(items))
 
     def declare(self, items: list[Any]) -> Edit:
         server = Server(str(items[0]), str(items[1]), items[2])
-        return Edit(PutServer("", server), _guard_of(items))
+        return Edit(PutServer("", server), _expected_revision(items))
 
     def state(self, items: list[Any]) -> Edit:
         state = "active" if str(items[0]) == "rejoin" else "leaving"
-        return Edit(SetServerState("", str(items[1]), state), _guard_of(items))
+        return Edit(SetServerState("", str(items[1]), state), _expected_revision(items))
 
     def forget(self, items: list[Any]) -> Edit:
-        return Edit(DropServer("", str(items[0])), _guard_of(items))
+        return Edit(DropServer("", str(items[0])), _expected_revision(items))
 
 
-def _guard_of(items: list[Any]) -> int:
+def _expected_revision(items: list[Any]) -> int:
     last = items[-1]
     return last if isinstance(last, int) else 0
 
@@ -166,7 +166,7 @@
 def parse(text: str) -> Command | Failure:
     """Parse one command."""
     try:
-        command: Command = _Builder().transform(_PARSER.parse(text))
+        command: Command = _CommandBuilder().transform(_PARSER.parse(text))
     except UnexpectedInput as exc:
         return _syntax_failure(text, exc)
     except VisitError as exc:
@@ -180,22 +180,22 @@
         expected = exc.accepts or set(exc.expected)
     elif isinstance(exc, UnexpectedCharacters):
         expected = set(exc.allowed or ())
-    # At the end of the text the parser names the place of the last token.
+    # At the end of the text the parser reports the position of the last token.
     at_end = isinstance(exc, UnexpectedToken) and exc.token.type == "$END"
     column = len(text.rstrip()) + 1 if at_end else exc.column
-    words = ", ".join(sorted(_spell(name) for name in expected))
-    detail = f"column {column}: expected {words or 'a command'}"
+    expected_text = ", ".join(sorted(_describe_terminal(name) for name in expected))
+    detail = f"column {column}: expected {expected_text or 'a command'}"
     return Failure(Code.SYNTAX, detail, column=column)
 
 
-def _spell(terminal: str) -> str:
-    """Name a terminal as a person would type it."""
+def _describe_terminal(terminal: str) -> str:
+    """Return the description of a terminal for an error message."""
     if terminal == "$END":
         return "the end"
     for definition in _PARSER.terminals:
         if definition.name == terminal and definition.pattern.type == "str":
             return f"'{definition.pattern.value}'"
-    known = {
+    descriptions = {
         "NOUN": "programs/services/servers/slots/instances/config",
         "KIND": "model/plain",
         "STATE": "leave/stop/rejoin",
@@ -207,12 +207,12 @@
         "NUMBER_SETTING": "a setting",
         "COMMA": "','",
     }
-    return known.get(terminal, terminal.lower())
+    return descriptions.get(terminal, terminal.lower())
 
 
-def edited_service(edit: EditService, present: Service | None) -> Service:
-    """Apply the settings of an edit; several ``tool`` settings add up."""
-    service = present if present is not None else Service(edit.name)
+def apply_settings(edit: EditService, current: Service | None) -> Service:
+    """Apply settings; each ``tool`` setting adds or replaces one tool."""
+    service = current if current is not None else Service(edit.name)
     tools = {tool.name: tool for tool in service.tools}
     for setting in edit.settings:
         if setting.name == "tools":
@@ -222,11 +222,11 @@
     return service._replace(tools=tuple(tools.values()))
 
 
-def change_of(
+def build_change(
     command: EditService | Edit, change_id: str, services: dict[str, Service]
 ) -> Change:
-    """Complete a command into a change."""
+    """Build the change of a command, with its id."""
     if isinstance(command, Edit):
         return command.change._replace(change=change_id)
-    service = edited_service(command, services.get(command.name))
+    service = apply_settings(command, services.get(command.name))
     return PutService(change_id, command.create, service)
--- a/wisteriastair/operators/losscount.py
+++ b/wisteriastair/operators/losscount.py
@@ -1,7 +1,7 @@
-"""Requests counted by how they ended, by time, by instance and by program.
+"""Statistics of requests by outcome, time, instance, customer and program.
 
-What is kept grows with the rows of the tables and with the programs that lost a
-request, not with the lines.
+Memory grows with the rows of the tables and with the programs that lost a request, not
+with the number of log lines.
 """
 
 from __future__ import annotations
@@ -9,146 +9,174 @@
 from collections import Counter
 from typing import Final, NamedTuple, TypeVar
 
-from .endings import LOST, Ended, Ending, Outcome, classify, decode_request
-from .trace import REQUEST_LINES, Line, NoLine, read_line
-
-# A relay that has said that it ends before all is done ends within some ms; a request
-# that breaks off later than this, in seconds, breaks off for another reason.
-CUT_S: Final = 1.0
-CUT_LINE: Final = "stopped before all was done"
-START_LINE: Final = "relay started"
-# The year 9999 in seconds since 1970: no clock shows more, nor can it be printed.
-MAX_TIME_S: Final = 253_402_300_799.0
-DAMAGED: Final = "a request's line with fields missing or wrong, or no date"
+from .endings import (
+    LOST_OUTCOMES,
+    Classification,
+    Outcome,
+    RoutedRequestRecord,
+    classify,
+    decode_request,
+)
+from .trace import REQUEST_TEXTS, LineError, LogLine, parse_line
+
+# A relay that aborts its remaining requests exits within milliseconds.  A request that
+# is interrupted later than this has another cause.
+ABORT_WINDOW_S: Final = 1.0
+ABORT_TEXT: Final = "stopped before all was done"
+START_TEXT: Final = "relay started"
+# End of the year 9999, the last second that `datetime` can represent.
+MAX_TIMESTAMP_S: Final = 253_402_300_799.0
+DAMAGED_REQUEST_LINE: Final = (
+    "a request's line with fields missing or wrong, or no date"
+)
 
 Key = TypeVar("Key")
 
 
-class First(NamedTuple):
-    """The earliest request of several."""
+class ClassifiedRequest(NamedTuple):
+    """A request with its outcome and cause."""
 
-    at: float
-    request: str
-    ending: Ending
+    timestamp_s: float
+    request_id: str
+    classification: Classification
 
 
 class Group:
-    """Requests that are counted together.
+    """Number of requests of each outcome in one row of a table.
 
     Attributes
     ----------
-    first : First
-        The earliest one, by the clocks of the instances.
+    first : ClassifiedRequest
+        The earliest request, by the clocks of the instances.
+    counts : Counter of Outcome
+        Number of requests of each outcome.
     """
 
-    def __init__(self, first: First) -> None:
+    def __init__(self, first: ClassifiedRequest) -> None:
         self.first = first
         self.counts: Counter[Outcome] = Counter()
 
-    def add(self, one: First) -> None:
+    def add(self, classified: ClassifiedRequest) -> None:
         """Count one request."""
-        self.counts[one.ending.outcome] += 1
-        if one.at < self.first.at:
-            self.first = one
+        self.counts[classified.classification.outcome] += 1
+        if classified.timestamp_s < self.first.timestamp_s:
+            self.first = classified
+
 
+class LossStats:
+    """Statistics of the log lines that were read.
 
-class Losses:
-    """What is kept of the lines that were read.
+    A request is lost if its outcome is late, refused, failed or broken off.
 
     Attributes
     ----------
-    read, requests, others : int
-        Lines in all, those of requests, and other lines of the system.
-    no_lines : Counter of str
-        Lines that could not be counted as either, by what is wrong with them.
-    rows, steps, instances, customers, programs : dict
-        Requests by how they ended, by time, by instance, by customer, and the lost ones
-        of each program; a step is a number of steps since 1970.
-    unnamed : int
-        Lost requests that belong to no program.
-    with_aim, without_aim : set of str
-        Routes that had answers, by whether they have an aim.
+    line_count, request_count, other_line_count : int
+        Number of all lines, of valid request lines and of other log lines of the
+        system.
+    skipped_lines : Counter of str
+        Number of lines that could not be used, by reason.
+    by_classification, by_interval, by_instance, by_customer : dict
+        Groups of all requests.  The key of an interval is its start, as a number of
+        intervals since the Unix epoch.
+    by_program : dict
+        Groups of the lost requests of each program.
+    lost_without_program : int
+        Number of lost requests that belong to no program.
+    routes_with_target, routes_without_target : set of str
+        Routes with successful responses, by whether they have a target latency.
 
     Parameters
     ----------
-    aims : dict
-        Seconds in which the answers of a route are to be whole.
-    step_s : float
-        Seconds of a row of the table by time.
+    target_latencies : dict
+        Target latency of each route for complete responses, in seconds.
+    interval_s : float
+        Length of an interval of the table by time, in seconds.
     """
 
-    def __init__(self, aims: dict[str, float], step_s: float) -> None:
-        self.aims = aims
-        self.step_s = step_s
-        self.read = 0
-        self.requests = 0
-        self.others = 0
-        self.no_lines: Counter[str] = Counter()
-        self.rows: dict[Ending, Group] = {}
-        self.steps: dict[int, Group] = {}
-        self.instances: dict[str, Group] = {}
-        self.customers: dict[str, Group] = {}
-        self.programs: dict[str, Group] = {}
-        self.unnamed = 0
-        self.with_aim: set[str] = set()
-        self.without_aim: set[str] = set()
-        # When an instance said that it ends before all is done.
-        self._cuts: dict[str, float] = {}
-
-    def lost(self) -> int:
-        """Count the requests that lost worth."""
-        rows = self.rows.items()
-        return sum(g.counts.total() for end, g in rows if end.outcome in LOST)
-
-    def add(self, raw: str) -> None:
-        """Count one line."""
-        self.read += 1
-        line = read_line(raw)
-        if isinstance(line, NoLine):
-            self.no_lines[line.value] += 1
+    def __init__(self, target_latencies: dict[str, float], interval_s: float) -> None:
+        self.target_latencies = target_latencies
+        self.interval_s = interval_s
+        self.line_count = 0
+        self.request_count = 0
+        self.other_line_count = 0
+        self.skipped_lines: Counter[str] = Counter()
+        self.by_classification: dict[Classification, Group] = {}
+        self.by_interval: dict[int, Group] = {}
+        self.by_instance: dict[str, Group] = {}
+        self.by_customer: dict[str, Group] = {}
+        self.by_program: dict[str, Group] = {}
+        self.lost_without_program = 0
+        self.routes_with_target: set[str] = set()
+        self.routes_without_target: set[str] = set()
+        # When each instance aborted its remaining requests, in seconds since the Unix
+        # epoch.
+        self._abort_times_s: dict[str, float] = {}
+
+    def lost_count(self) -> int:
+        """Return the number of lost requests."""
+        groups = self.by_classification.items()
+        return sum(
+            g.counts.total() for key, g in groups if key.outcome in LOST_OUTCOMES
+        )
+
+    def add_line(self, raw_line: str) -> None:
+        """Parse and count one line."""
+        self.line_count += 1
+        line = parse_line(raw_line)
+        if isinstance(line, LineError):
+            self.skipped_lines[line.value] += 1
             return
-        if line.text in REQUEST_LINES:
+        if line.text in REQUEST_TEXTS:
             self._add_request(line)
             return
-        self.others += 1
-        if line.text == CUT_LINE:
-            self._cuts[line.instance] = line.at
-        if line.text == START_LINE:
-            self._cuts.pop(line.instance, None)
+        self.other_line_count += 1
+        if line.text == ABORT_TEXT:
+            self._abort_times_s[line.instance] = line.timestamp_s
+        if line.text == START_TEXT:
+            self._abort_times_s.pop(line.instance, None)
 
-    def _add_request(self, line: Line) -> None:
+    def _add_request(self, line: LogLine) -> None:
         request = decode_request(line)
-        if request is None or not 0 <= line.at <= MAX_TIME_S:
-            self.no_lines[DAMAGED] += 1
+        if request is None or not 0 <= line.timestamp_s <= MAX_TIMESTAMP_S:
+            self.skipped_lines[DAMAGED_REQUEST_LINE] += 1
             return
-        self.requests += 1
-        route = request.route if isinstance(request, Ended) else ""
-        ending = classify(request, self.aims.get(route), self._is_cut(line))
-        if ending.outcome is Outcome.ANSWERED:
-            self.without_aim.add(route)
-        if ending.outcome in (Outcome.IN_TIME, Outcome.LATE):
-            self.with_aim.add(route)
-        one = First(line.at, request.request, ending)
-        step = int(line.at // self.step_s)
-        _group(self.rows, ending, one)
-        _group(self.steps, step, one)
-        _group(self.instances, line.instance, one)
-        if isinstance(request, Ended) and request.customer:
-            _group(self.customers, request.customer, one)
-        if ending.outcome not in LOST:
+        self.request_count += 1
+        route = request.route if isinstance(request, RoutedRequestRecord) else ""
+        classification = classify(
+            request, self.target_latencies.get(route), self._is_aborted(line)
+        )
+        if classification.outcome is Outcome.ANSWERED:
+            self.routes_without_target.add(route)
+        if classification.outcome in (Outcome.IN_TIME, Outcome.LATE):
+            self.routes_with_target.add(route)
+        classified = ClassifiedRequest(
+            line.timestamp_s, request.request, classification
+        )
+        interval = int(line.timestamp_s // self.interval_s)
+        _add_to_group(self.by_classification, classification, classified)
+        _add_to_group(self.by_interval, interval, classified)
+        _add_to_group(self.by_instance, line.instance, classified)
+        if isinstance(request, RoutedRequestRecord) and request.customer:
+            _add_to_group(self.by_customer, request.customer, classified)
+        if classification.outcome not in LOST_OUTCOMES:
             return
-        if isinstance(request, Ended) and request.program:
-            _group(self.programs, request.program, one)
+        if isinstance(request, RoutedRequestRecord) and request.program:
+            _add_to_group(self.by_program, request.program, classified)
         else:
-            self.unnamed += 1
+            self.lost_without_program += 1
 
-    def _is_cut(self, line: Line) -> bool:
-        cut_at = self._cuts.get(line.instance)
-        return cut_at is not None and 0 <= line.at - cut_at <= CUT_S
+    def _is_aborted(self, line: LogLine) -> bool:
+        aborted_at_s = self._abort_times_s.get(line.instance)
+        return (
+            aborted_at_s is not None
+            and 0 <= line.timestamp_s - aborted_at_s <= ABORT_WINDOW_S
+        )
 
 
-def _group(groups: dict[Key, Group], key: Key, one: First) -> None:
+def _add_to_group(
+    groups: dict[Key, Group], key: Key, classified: ClassifiedRequest
+) -> None:
     group = groups.get(key)
     if group is None:
-        group = groups[key] = Group(one)
-    group.add(one)
+        group = groups[key] = Group(classified)
+    group.add(classified)
--- a/wisteriastair/operators/losstables.py
+++ b/wisteriastair/operators/losstables.py
@@ -1,4 +1,4 @@
-"""The tables of lost worth, for people and for scripts."""
+"""Output of the statistics of lost requests, as text tables and as JSON."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 import msgspec
 
-from .endings import LOST, Ending, Outcome
-from .losscount import Group, Losses
+from .endings import LOST_OUTCOMES, Classification, Outcome
+from .losscount import Group, LossStats
 from .tables import Cell, Table, format_table
 
-# Programs and customers that the page names; the JSON names all.
+# Rows of the text tables by program and by customer; the JSON output has all rows.
 MAX_PROGRAMS: Final = 20
 MAX_CUSTOMERS: Final = 20
 PERCENT: Final = 100.0
@@ -21,193 +21,245 @@
 OUTCOME_COLUMNS: Final = ("requests", *(outcome.value for outcome in OUTCOMES))
 
 
-def as_text(losses: Losses) -> str:
-    """Tell the losses as tables for people."""
-    began = _began(losses)
-    parts = [_summary(losses, began), _reasons(losses, began)]
-    parts.append(_aims(losses))
-    if losses.requests:
-        parts.append(_steps(losses, began))
-        parts.append(_instances(losses))
-    if losses.customers:
-        parts.append(_customers(losses))
-    if losses.programs:
-        parts.append(_programs(losses, began))
+def format_text(stats: LossStats) -> str:
+    """Format the statistics as text tables."""
+    start_s = _first_interval_start_s(stats)
+    parts = [_format_summary(stats, start_s), _format_causes(stats, start_s)]
+    parts.append(_format_targets(stats))
+    if stats.request_count:
+        parts.append(_format_intervals(stats, start_s))
+        parts.append(_format_instances(stats))
+    if stats.by_customer:
+        parts.append(_format_customers(stats))
+    if stats.by_program:
+        parts.append(_format_programs(stats, start_s))
     return "\n\n".join(parts)
 
 
-def as_json(losses: Losses) -> str:
-    """Tell the same as one JSON object; times in seconds since 1970."""
-    steps = sorted(losses.steps.items())
+def encode_json(stats: LossStats) -> str:
+    """Encode the statistics as a JSON object; times in seconds since the Unix epoch."""
+    intervals = sorted(stats.by_interval.items())
     data = {
         "lines": {
-            "read": losses.read,
-            "requests": losses.requests,
-            "others": losses.others,
-            "no_lines": dict(losses.no_lines),
+            "read": stats.line_count,
+            "requests": stats.request_count,
+            "others": stats.other_line_count,
+            "no_lines": dict(stats.skipped_lines),
         },
-        "lost": losses.lost(),
-        "aims": losses.aims,
-        "without_aim": sorted(losses.without_aim),
-        "every_s": losses.step_s,
+        "lost": stats.lost_count(),
+        "aims": stats.target_latencies,
+        "without_aim": sorted(stats.routes_without_target),
+        "every_s": stats.interval_s,
         "reasons": [
-            {**_ending(end), "requests": group.counts.total(), **_first(group)}
-            for end, group in _by_outcome(losses)
+            {
+                **_classification_fields(classification),
+                "requests": group.counts.total(),
+                **_first_request_fields(group),
+            }
+            for classification, group in _sort_by_outcome(stats)
+        ],
+        "times": [
+            {"at": index * stats.interval_s, **_count_fields(group)}
+            for index, group in intervals
         ],
-        "times": [{"at": n * losses.step_s, **_counts(group)} for n, group in steps],
         "instances": {
-            name: _counts(group) for name, group in sorted(losses.instances.items())
+            name: _count_fields(group)
+            for name, group in sorted(stats.by_instance.items())
+        },
+        "customers": {
+            name: _count_fields(group) for name, group in _sort_customers(stats)
         },
-        "customers": {name: _counts(group) for name, group in _worst_first(losses)},
         "programs": {
-            name: {**_ending(group.first.ending), **_first(group), **_counts(group)}
-            for name, group in _by_first(losses)
+            name: {
+                **_classification_fields(group.first.classification),
+                **_first_request_fields(group),
+                **_count_fields(group),
+            }
+            for name, group in _sort_programs(stats)
         },
-        "lost_without_program": losses.unnamed,
+        "lost_without_program": stats.lost_without_program,
     }
     return msgspec.json.encode(data).decode()
 
 
-def _ending(ending: Ending) -> dict[str, Any]:
-    return {"outcome": ending.outcome.value, "why": ending.why.value}
+def _classification_fields(classification: Classification) -> dict[str, Any]:
+    return {"outcome": classification.outcome.value, "why": classification.cause.value}
 
 
-def _first(group: Group) -> dict[str, Any]:
-    return {"first_at": group.first.at, "first_request": group.first.request}
+def _first_request_fields(group: Group) -> dict[str, Any]:
+    return {
+        "first_at": group.first.timestamp_s,
+        "first_request": group.first.request_id,
+    }
 
 
-def _counts(group: Group) -> dict[str, Any]:
+def _count_fields(group: Group) -> dict[str, Any]:
     counts = {outcome.value: group.counts[outcome] for outcome in OUTCOMES}
     return {"requests": group.counts.total(), **counts}
 
 
-def _began(losses: Losses) -> float:
-    """Seconds since 1970 at which the first row of the table by time begins."""
-    return min(losses.steps, default=0) * losses.step_s
+def _first_interval_start_s(stats: LossStats) -> float:
+    """Start of the first interval, in seconds since the Unix epoch."""
+    return min(stats.by_interval, default=0) * stats.interval_s
 
 
-def _by_outcome(losses: Losses) -> list[tuple[Ending, Group]]:
-    """Rows in the order of the outcomes, those with most requests first."""
+def _sort_by_outcome(stats: LossStats) -> list[tuple[Classification, Group]]:
+    """Sort groups by outcome, and by descending number of requests."""
 
-    def place(row: tuple[Ending, Group]) -> tuple[int, int, str]:
-        ending, group = row
-        return OUTCOMES.index(ending.outcome), -group.counts.total(), ending.why
+    def sort_key(row: tuple[Classification, Group]) -> tuple[int, int, str]:
+        classification, group = row
+        return (
+            OUTCOMES.index(classification.outcome),
+            -group.counts.total(),
+            classification.cause,
+        )
 
-    return sorted(losses.rows.items(), key=place)
+    return sorted(stats.by_classification.items(), key=sort_key)
 
 
-def _by_first(losses: Losses) -> list[tuple[str, Group]]:
-    return sorted(losses.programs.items(), key=lambda row: (row[1].first.at, row[0]))
+def _sort_programs(stats: LossStats) -> list[tuple[str, Group]]:
+    return sorted(
+        stats.by_program.items(), key=lambda row: (row[1].first.timestamp_s, row[0])
+    )
 
 
-def _summary(losses: Losses, began: float) -> str:
-    lost = losses.lost()
-    told = [f"{losses.requests} requests, {lost} of them lost"]
-    if losses.requests:
-        since = datetime.fromtimestamp(began, UTC).isoformat(timespec="milliseconds")
-        told[0] += f"; times are from {since}"
-    none = losses.no_lines.total()
-    told.append(
-        f"{losses.read} lines read: {losses.requests} of requests, "
-        f"{losses.others} others of the system, {none} that are none of its lines"
+def _format_summary(stats: LossStats, start_s: float) -> str:
+    lost = stats.lost_count()
+    output = [f"{stats.request_count} requests, {lost} of them lost"]
+    if stats.request_count:
+        start_time = datetime.fromtimestamp(start_s, UTC).isoformat(
+            timespec="milliseconds"
+        )
+        output[0] += f"; times are from {start_time}"
+    skipped = stats.skipped_lines.total()
+    output.append(
+        f"{stats.line_count} lines read: {stats.request_count} of requests, "
+        f"{stats.other_line_count} others of the system, "
+        f"{skipped} that are none of its lines"
     )
-    told += [f"  {n} x {what}" for what, n in sorted(losses.no_lines.items())]
-    if losses.unnamed:
-        told.append(f"{losses.unnamed} of the lost requests belong to no program")
-    return "\n".join(told)
+    output += [
+        f"  {count} x {reason}" for reason, count in sorted(stats.skipped_lines.items())
+    ]
+    if stats.lost_without_program:
+        output.append(
+            f"{stats.lost_without_program} of the lost requests belong to no program"
+        )
+    return "\n".join(output)
 
 
-def _reasons(losses: Losses, began: float) -> str:
+def _format_causes(stats: LossStats, start_s: float) -> str:
     rows: list[tuple[Cell, ...]] = []
-    for ending, group in _by_outcome(losses):
-        n = group.counts.total()
-        share = f"{PERCENT * n / losses.requests:.1f} %"
-        since = _since(group, began)
-        request = group.first.request or "?"
-        rows.append((ending.outcome, ending.why, n, share, since, request))
-    rows.append(("total", "", losses.requests, "", "", ""))
+    for classification, group in _sort_by_outcome(stats):
+        count = group.counts.total()
+        percentage = f"{PERCENT * count / stats.request_count:.1f} %"
+        offset = _format_offset(group, start_s)
+        request = group.first.request_id or "?"
+        rows.append(
+            (
+                classification.outcome,
+                classification.cause,
+                count,
+                percentage,
+                offset,
+                request,
+            )
+        )
+    rows.append(("total", "", stats.request_count, "", "", ""))
     columns = ("outcome", "why", "requests", "share", "first", "first request")
-    return _told(columns, rows)
-
-
-def _aims(losses: Losses) -> str:
-    told: list[str] = []
-    for route, aim_s in losses.aims.items():
-        unused = "" if route in losses.with_aim else "; no answer had this route"
-        told.append(f"aim of {route}: {aim_s} s{unused}")
-    if losses.without_aim:
-        names = ", ".join(sorted(losses.without_aim))
-        told.append(f"no aim, so whatever was answered counts as answered: {names}")
-    return "\n".join(told) or "no aims, and no answers that would need one"
-
-
-def _steps(losses: Losses, began: float) -> str:
-    steps = sorted(losses.steps.items())
-    named = ((f"{n * losses.step_s - began:+z.3f} s", group) for n, group in steps)
-    return _outcomes("end of request", named)
+    return _format_rows(columns, rows)
+
+
+def _format_targets(stats: LossStats) -> str:
+    output: list[str] = []
+    for route, target_latency_s in stats.target_latencies.items():
+        unused_suffix = (
+            "" if route in stats.routes_with_target else "; no answer had this route"
+        )
+        output.append(f"aim of {route}: {target_latency_s} s{unused_suffix}")
+    if stats.routes_without_target:
+        names = ", ".join(sorted(stats.routes_without_target))
+        output.append(f"no aim, so whatever was answered counts as answered: {names}")
+    return "\n".join(output) or "no aims, and no answers that would need one"
+
+
+def _format_intervals(stats: LossStats, start_s: float) -> str:
+    intervals = sorted(stats.by_interval.items())
+    named_groups = (
+        (f"{index * stats.interval_s - start_s:+z.3f} s", group)
+        for index, group in intervals
+    )
+    return _format_outcomes("end of request", named_groups)
 
 
-def _instances(losses: Losses) -> str:
-    return _outcomes("instance", sorted(losses.instances.items()))
+def _format_instances(stats: LossStats) -> str:
+    return _format_outcomes("instance", sorted(stats.by_instance.items()))
 
 
-def _worst_first(losses: Losses) -> list[tuple[str, Group]]:
-    """Order customers by the share of their requests that was lost."""
+def _sort_customers(stats: LossStats) -> list[tuple[str, Group]]:
+    """Sort customers by the fraction of their requests that was lost, highest first."""
 
-    def place(row: tuple[str, Group]) -> tuple[float, str]:
+    def sort_key(row: tuple[str, Group]) -> tuple[float, str]:
         name, group = row
-        lost = sum(group.counts[outcome] for outcome in LOST)
+        lost = sum(group.counts[outcome] for outcome in LOST_OUTCOMES)
         return -lost / group.counts.total(), name
 
-    return sorted(losses.customers.items(), key=place)
+    return sorted(stats.by_customer.items(), key=sort_key)
 
 
-def _customers(losses: Losses) -> str:
-    customers = _worst_first(losses)
-    told = _outcomes("customer", customers[:MAX_CUSTOMERS])
+def _format_customers(stats: LossStats) -> str:
+    customers = _sort_customers(stats)
+    output = _format_outcomes("customer", customers[:MAX_CUSTOMERS])
     if len(customers) > MAX_CUSTOMERS:
-        left = len(customers) - MAX_CUSTOMERS
-        told += f"\nand {left} that lost a smaller share (--json has all)"
-    return told
+        omitted = len(customers) - MAX_CUSTOMERS
+        output += f"\nand {omitted} that lost a smaller share (--json has all)"
+    return output
 
 
-def _outcomes(title: str, named: Iterable[tuple[str, Group]]) -> str:
+def _format_outcomes(title: str, named_groups: Iterable[tuple[str, Group]]) -> str:
     rows: list[tuple[Cell, ...]] = []
     total: Counter[Outcome] = Counter()
-    for name, group in named:
-        rows.append((name, *_cells(group.counts)))
+    for name, group in named_groups:
+        rows.append((name, *_count_cells(group.counts)))
         total += group.counts
-    rows.append(("total", *_cells(total)))
-    return _told((title, *OUTCOME_COLUMNS), rows)
+    rows.append(("total", *_count_cells(total)))
+    return _format_rows((title, *OUTCOME_COLUMNS), rows)
 
 
-def _cells(counts: Counter[Outcome]) -> tuple[Cell, ...]:
+def _count_cells(counts: Counter[Outcome]) -> tuple[Cell, ...]:
     return (counts.total(), *(counts[outcome] for outcome in OUTCOMES))
 
 
-def _programs(losses: Losses, began: float) -> str:
-    programs = _by_first(losses)
-    firsts = Counter(group.first.ending for _, group in programs)
+def _format_programs(stats: LossStats, start_s: float) -> str:
+    programs = _sort_programs(stats)
+    first_losses = Counter(group.first.classification for _, group in programs)
     summary: list[tuple[Cell, ...]] = [
-        (ending.outcome, ending.why, n) for ending, n in firsts.most_common()
+        (classification.outcome, classification.cause, count)
+        for classification, count in first_losses.most_common()
     ]
     summary.append(("total", "", len(programs)))
     rows: list[tuple[Cell, ...]] = []
     for name, group in programs[:MAX_PROGRAMS]:
         first = group.first
         lost = group.counts.total()
-        since = _since(group, began)
-        rows.append((name, lost, since, first.request or "?", *first.ending))
+        offset = _format_offset(group, start_s)
+        rows.append(
+            (name, lost, offset, first.request_id or "?", *first.classification)
+        )
     columns = ("program", "lost", "first", "first request", "outcome", "why")
-    told = [_told(("first loss", "why", "programs"), summary), _told(columns, rows)]
+    output = [
+        _format_rows(("first loss", "why", "programs"), summary),
+        _format_rows(columns, rows),
+    ]
     if len(programs) > MAX_PROGRAMS:
-        told[-1] += f"\nand {len(programs) - MAX_PROGRAMS} later ones (--json has all)"
-    return "\n\n".join(told)
+        output[-1] += (
+            f"\nand {len(programs) - MAX_PROGRAMS} later ones (--json has all)"
+        )
+    return "\n\n".join(output)
 
 
-def _since(group: Group, began: float) -> str:
-    return f"{group.first.at - began:+z.3f} s"
+def _format_offset(group: Group, start_s: float) -> str:
+    return f"{group.first.timestamp_s - start_s:+z.3f} s"
 
 
-def _told(columns: tuple[str, ...], rows: list[tuple[Cell, ...]]) -> str:
+def _format_rows(columns: tuple[str, ...], rows: list[tuple[Cell, ...]]) -> str:
     return format_table(Table(columns, tuple(rows)))
--- a/wisteriastair/operators/tables.py
+++ b/wisteriastair/operators/tables.py
@@ -1,4 +1,4 @@
-"""Answers to queries, as tables."""
+"""Tables that answer the operators' queries."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Table(NamedTuple):
-    """Columns and rows of an answer; ``note`` is a remark below it."""
+    """Columns and rows of a response; ``note`` is a remark printed below them."""
 
     columns: tuple[str, ...]
     rows: tuple[tuple[Cell, ...], ...]
@@ -26,43 +26,58 @@
 
 
 def program_table(rows: tuple[ProgramRow, ...], missing: int) -> Table:
-    """Programs; ``missing`` carriers did not answer."""
+    """Return the table of programs.
+
+    Parameters
+    ----------
+    rows : tuple of ProgramRow
+        Programs of the primaries that responded.
+    missing : int
+        Number of primaries that did not respond in time.
+    """
     note = f"{missing} carriers did not answer in time" if missing else ""
     cells = tuple(row._replace(age_s=round(row.age_s, 1)) for row in rows)
     return Table(PROGRAM_COLUMNS, cells, note)
 
 
 def service_table(config: Config) -> Table:
-    """Return the services of a configuration."""
+    """Return the table of services."""
     columns = ("service", "budget", "priority", "models", "tools", "waste_weight")
     rows = tuple(
         (
-            s.name,
-            s.budget,
-            s.priority,
-            ",".join(s.models),
-            ",".join(t.name + ("" if t.repeatable else " (once)") for t in s.tools),
-            s.waste_weight,
+            service.name,
+            service.budget,
+            service.priority,
+            ",".join(service.models),
+            ",".join(
+                tool.name + ("" if tool.repeatable else " (once)")
+                for tool in service.tools
+            ),
+            service.waste_weight,
         )
-        for s in config.services.values()
+        for service in config.services.values()
     )
     return Table(columns, rows)
 
 
 def server_table(config: Config, instances: tuple[Instance, ...]) -> Table:
-    """Backend servers, with the side process before each."""
-    gates = {server: i for i in instances for server in i.servers}
+    """Return the table of backend servers, with the side process of each."""
+    gate_instances = {
+        server: instance for instance in instances for server in instance.servers
+    }
     rows = []
     for server in config.servers.values():
-        gate = gates.get(server.name)
+        gate_instance = gate_instances.get(server.name)
         rows.append(
             (
                 server.name,
                 server.kind,
                 ",".join(server.serves),
-                "leaving" if gate is not None and gate.leaving else server.state,
-                gate.domain if gate is not None else "",
-                gate.address if gate is not None else "not listed",
+                "leaving"
+                if gate_instance is not None and gate_instance.leaving
+                else server.state,
+                gate_instance.domain if gate_instance is not None else "",
+                gate_instance.address if gate_instance is not None else "not listed",
             )
         )
     columns = ("server", "kind", "serves", "state", "domain", "gate")
@@ -70,34 +85,34 @@
 
 
 def slot_table(rows: list[SlotRow]) -> Table:
-    """Return the slot table."""
+    """Return the table of slots."""
     columns = ("slot", "carrier", "standby", "epoch", "lost")
     cells = tuple(
-        (r.slot, r.primary, r.standby or "none", r.epoch, str(r.lost).lower())
-        for r in sorted(rows)
+        (row.slot, row.primary, row.standby or "none", row.epoch, str(row.lost).lower())
+        for row in sorted(rows)
     )
     return Table(columns, cells)
 
 
 def instance_table(instances: tuple[Instance, ...]) -> Table:
-    """Return the instance list."""
+    """Return the table of instances."""
     columns = ("instance", "role", "address", "domain", "leaving", "servers")
     rows = tuple(
         (
-            i.name,
-            i.role,
-            i.address,
-            i.domain,
-            str(i.leaving).lower(),
-            ",".join(i.servers),
+            instance.name,
+            instance.role,
+            instance.address,
+            instance.domain,
+            str(instance.leaving).lower(),
+            ",".join(instance.servers),
         )
-        for i in instances
+        for instance in instances
     )
     return Table(columns, rows)
 
 
 def config_table(revision: int, config: Config) -> Table:
-    """Revision and size of the configuration in force."""
+    """Return the revision and size of the current configuration."""
     columns = ("revision", "services", "servers", "newest_change")
     newest = config.changes[-1] if config.changes else ""
     row = (revision, len(config.services), len(config.servers), newest)
@@ -107,60 +122,78 @@
 def filter_table(
     table: Table, conditions: tuple[Condition, ...], limit: int
 ) -> Table | Failure:
-    """Keep the rows that meet all conditions, at most ``limit`` of them."""
+    """Filter a table.
+
+    Parameters
+    ----------
+    table : Table
+        The table.
+    conditions : tuple of Condition
+        Conditions that a row must all meet.
+    limit : int
+        Maximum number of rows.
+
+    Returns
+    -------
+    Table or Failure
+        A failure if a condition names an unknown column.
+    """
     for condition in conditions:
         if condition.field not in table.columns:
             names = ", ".join(table.columns)
             detail = f"no column '{condition.field}'; there are {names}"
             return Failure(Code.BAD_REQUEST, detail)
-    kept = [
+    matching_rows = [
         row
         for row in table.rows
-        if all(_holds(row[table.columns.index(c.field)], c) for c in conditions)
+        if all(_matches(row[table.columns.index(c.field)], c) for c in conditions)
     ]
     note = table.note
-    if len(kept) > limit:
-        note = f"{len(kept) - limit} more rows; use limit"
-    return Table(table.columns, tuple(kept[:limit]), note)
+    if len(matching_rows) > limit:
+        note = f"{len(matching_rows) - limit} more rows; use limit"
+    return Table(table.columns, tuple(matching_rows[:limit]), note)
 
 
-def _holds(cell: Cell, condition: Condition) -> bool:
-    left: Any = cell
-    right: Any = condition.value
+def _matches(cell: Cell, condition: Condition) -> bool:
+    cell_value: Any = cell
+    operand: Any = condition.value
     if not isinstance(cell, str):
         try:
-            right = float(condition.value)
+            operand = float(condition.value)
         except ValueError:
             return False
     match condition.operator:
         case "=":
-            return bool(left == right)
+            return bool(cell_value == operand)
         case "!=":
-            return bool(left != right)
+            return bool(cell_value != operand)
         case "<":
-            return bool(left < right)
+            return bool(cell_value < operand)
         case "<=":
-            return bool(left <= right)
+            return bool(cell_value <= operand)
         case ">":
-            return bool(left > right)
+            return bool(cell_value > operand)
         case _:
-            return bool(left >= right)
+            return bool(cell_value >= operand)
 
 
 def format_table(table: Table) -> str:
-    """Lay a table out for a terminal."""
+    """Format a table as text with aligned columns."""
     rows = [tuple(str(cell) for cell in row) for row in table.rows]
     widths = [
         max(len(name), *(len(row[n]) for row in rows)) if rows else len(name)
         for n, name in enumerate(table.columns)
     ]
-    lines = [_line(table.columns, widths), _line(["-" * w for w in widths], widths)]
-    lines += [_line(row, widths) for row in rows]
+    lines = [
+        _format_row(table.columns, widths),
+        _format_row(["-" * w for w in widths], widths),
+    ]
+    lines += [_format_row(row, widths) for row in rows]
     if table.note:
         lines.append(f"({table.note})")
     return "\n".join(lines)
 
 
-def _line(cells: tuple[str, ...] | list[str], widths: list[int]) -> str:
+def _format_row(cells: tuple[str, ...] | list[str], widths: list[int]) -> str:
     padded = (cell.ljust(width) for cell, width in zip(cells, widths, strict=True))
     return "  ".join(padded).rstrip()
--- a/wisteriastair/operators/trace.py
+++ b/wisteriastair/operators/trace.py
@@ -1,12 +1,13 @@
-"""`wisteriastair trace`: the way of one request, or of a program, out of log lines.
-
-Lines of any number of processes are read in any order; what stands before the JSON
-object of a line, such as a collector's prefix, is left out.  Lines that name the id are
-its requests.  Each is taken apart into hops by the durations that it carries.  Beside
-it stand the lines that tell what its process believed at that time: what it last said
-of the ledger, the store and the configuration before the request ended, and what any
-process said of the servers that were tried.  What is not in the lines is named, since a
-request without a line is a finding of its own.
+"""The trace command: reconstruct a request, or all requests of a program, from logs.
+
+Log lines of any number of processes are read in any order.  Text before the JSON object
+of a line, such as a log collector's prefix, is skipped.  A request line belongs to the
+trace if it contains the wanted id; its durations are printed as hops.
+
+Each request is followed by the state of its process when it ended, which is the last
+line about the ledger, the store, the configuration, the view and the process itself,
+and by the lines of all processes about the servers that were tried.  Missing
+information is reported as well: a request without a line is a result too.
 """
 
 from __future__ import annotations
@@ -18,143 +19,177 @@
 
 import msgspec
 
-# Beliefs of a process, by what they are about; the last line of each kind counts.
-LEDGER_LINES: Final = ("ledger in reach", "ledger out of reach")
-STORE_LINES: Final = ("store in touch", "store lost")
-CONFIG_LINES: Final = ("configuration in force",)
-VIEW_LINES: Final = ("view adopted",)
-LIFE_LINES: Final = ("relay started", "stopping", "last call", "relay stopped")
-BELIEFS: Final = (LEDGER_LINES, STORE_LINES, CONFIG_LINES, VIEW_LINES, LIFE_LINES)
-REQUEST_LINES: Final = ("request ended", "request broken off", "request refused")
-SERVER_LINES: Final = ("server known", "server vanished")
-# What a server's entry said this long before and after a request still explains it, in
-# seconds: entries lag, and a crash shows in them after three missed heartbeats.
+# Texts of the log lines that show the state of a process, by subject.  The last line
+# of each subject is the current state.
+LEDGER_TEXTS: Final = ("ledger in reach", "ledger out of reach")
+STORE_TEXTS: Final = ("store in touch", "store lost")
+CONFIG_TEXTS: Final = ("configuration in force",)
+VIEW_TEXTS: Final = ("view adopted",)
+LIFECYCLE_TEXTS: Final = ("relay started", "stopping", "last call", "relay stopped")
+PROCESS_STATE_TEXTS: Final = (
+    LEDGER_TEXTS,
+    STORE_TEXTS,
+    CONFIG_TEXTS,
+    VIEW_TEXTS,
+    LIFECYCLE_TEXTS,
+)
+REQUEST_TEXTS: Final = ("request ended", "request broken off", "request refused")
+SERVER_TEXTS: Final = ("server known", "server vanished")
+# Changes of a server's entry are shown from this long before a request until this long
+# after it.  Entries lag: a crash is visible only after three missed heartbeats.
 SERVER_WINDOW_S: Final = 5.0
 MS_PER_S: Final = 1000.0
-SUCCESS: Final = range(200, 300)
-# Fields that every line has, or that the hops show already.
-SHOWN: Final = frozenset(("time", "level", "logger", "text", "instance"))
+SUCCESS_STATUSES: Final = range(200, 300)
+# Fields that every line has; they are not repeated in the description of a line.
+OMITTED_FIELDS: Final = frozenset(("time", "level", "logger", "text", "instance"))
 
 EXIT_NOT_FOUND: Final = 1
-EXIT_BAD_FILE: Final = 2
+EXIT_UNREADABLE_FILE: Final = 2
 
 Fields = dict[str, Any]
 
 
-class Line(NamedTuple):
-    """One line of a log.
+class LogLine(NamedTuple):
+    """A parsed log line.
 
     Attributes
     ----------
-    at : float
-        Seconds since 1970, by the clock of the instance.
+    timestamp_s : float
+        Seconds since the Unix epoch, by the clock of the instance.
+    instance : str
+        Name of the process that wrote the line; ``?`` if the line has none.
+    text : str
+        The log message.
+    fields : dict
+        All fields of the JSON object.
     """
 
-    at: float
+    timestamp_s: float
     instance: str
     text: str
     fields: Fields
 
 
-class NoLine(StrEnum):
-    """Why something in a log is no line of the system."""
+class LineError(StrEnum):
+    """Why a line is not a valid log line of this system."""
 
-    NO_OBJECT = "no JSON object"
-    BROKEN = "a JSON object that is broken"
-    FOREIGN = "a JSON object without a time and a text"
+    NO_JSON_OBJECT = "no JSON object"
+    INVALID_JSON = "a JSON object that is broken"
+    NO_TIME_OR_TEXT = "a JSON object without a time and a text"
 
 
-def read_line(raw: str) -> Line | NoLine:
-    """Read one line of a log; what stands before its JSON object is left out."""
-    _, brace, rest = raw.partition("{")
+def parse_line(raw_line: str) -> LogLine | LineError:
+    """Parse one log line; text before its JSON object is skipped."""
+    _, brace, rest = raw_line.partition("{")
     if not brace:
-        return NoLine.NO_OBJECT
+        return LineError.NO_JSON_OBJECT
     try:
         fields = msgspec.json.decode(brace + rest, type=Fields)
     except (msgspec.DecodeError, RecursionError):
-        return NoLine.BROKEN
+        return LineError.INVALID_JSON
     if "time" not in fields or "text" not in fields:
-        return NoLine.FOREIGN
+        return LineError.NO_TIME_OR_TEXT
     try:
-        at = float(fields["time"])
+        timestamp_s = float(fields["time"])
     except (TypeError, ValueError, OverflowError):
-        return NoLine.FOREIGN
+        return LineError.NO_TIME_OR_TEXT
     text = str(fields["text"])
-    return Line(at, str(fields.get("instance", "?")), text, fields)
+    return LogLine(timestamp_s, str(fields.get("instance", "?")), text, fields)
+
 
+def parse_lines(raw_lines: Iterable[str]) -> list[LogLine]:
+    """Parse log lines and sort them by time; invalid lines are skipped."""
+    parsed = [parse_line(raw_line) for raw_line in raw_lines]
+    lines = [line for line in parsed if isinstance(line, LogLine)]
+    return sorted(lines, key=lambda line: line.timestamp_s)
 
-def read_lines(raw: Iterable[str]) -> list[Line]:
-    """Read log lines in the order of their times; others are left out."""
-    read = [read_line(each) for each in raw]
-    lines = [line for line in read if isinstance(line, Line)]
-    return sorted(lines, key=lambda line: line.at)
 
+def run_trace(wanted_id: str, files: Sequence[str]) -> int:
+    """Print the trace of a request or a program.
+
+    Parameters
+    ----------
+    wanted_id : str
+        Id of a request or a program.
+    files : sequence of str
+        Paths of log files; standard input if empty.
 
-def run_trace(wanted: str, files: Sequence[str]) -> int:
-    """Print the way of a request or a program; the status says if it was found."""
-    raw: list[str] = []
+    Returns
+    -------
+    int
+        Exit status: 0 if the id was found, 1 if not, 2 if a file cannot be read.
+    """
+    raw_lines: list[str] = []
     if not files:
-        raw = sys.stdin.readlines()
+        raw_lines = sys.stdin.readlines()
     for path in files:
         try:
             with open(path, encoding="utf-8", errors="replace") as file:
-                raw += file.readlines()
+                raw_lines += file.readlines()
         except OSError as exc:
             print(f"wisteriastair: {path}: {exc.strerror}", file=sys.stderr)
-            return EXIT_BAD_FILE
-    lines = read_lines(raw)
-    print("\n".join(trace(lines, wanted)))
-    return 0 if _requests(lines, wanted) else EXIT_NOT_FOUND
+            return EXIT_UNREADABLE_FILE
+    lines = parse_lines(raw_lines)
+    print("\n".join(format_trace(lines, wanted_id)))
+    return 0 if _find_requests(lines, wanted_id) else EXIT_NOT_FOUND
 
 
-def trace(lines: list[Line], wanted: str) -> list[str]:
-    """Tell the way of a request, or of all requests of a program.
+def format_trace(lines: list[LogLine], wanted_id: str) -> list[str]:
+    """Format the trace of a request, or of all requests of a program.
 
     Parameters
     ----------
-    lines : list of Line
-        Lines of all processes that could be collected, in the order of their times.
-    wanted : str
+    lines : list of LogLine
+        Log lines of all available processes, sorted by time.
+    wanted_id : str
         Id of a request or a program.
+
+    Returns
+    -------
+    list of str
+        Lines of the output.
     """
-    found = _requests(lines, wanted)
+    found = _find_requests(lines, wanted_id)
     if not found:
         return [
-            f"{wanted}: no line in {len(lines)} lines of {_count(lines)} processes.",
+            f"{wanted_id}: no line in {len(lines)} lines "
+            f"of {_count_instances(lines)} processes.",
             "No relay has read it, its log is not here, or the relay was killed "
             "before the request ended: look for 'relay started' after its time.",
         ]
-    told: list[str] = []
+    output: list[str] = []
     for line in found:
-        told += _request(line, lines)
+        output += _format_request(line, lines)
     if len(found) > 1:
-        told.append(_sum(found))
-    return told
+        output.append(_format_totals(found))
+    return output
 
 
-def _requests(lines: list[Line], wanted: str) -> list[Line]:
+def _find_requests(lines: list[LogLine], wanted_id: str) -> list[LogLine]:
     return [
         line
         for line in lines
-        if line.text in REQUEST_LINES
-        and wanted in (line.fields.get("request"), line.fields.get("program"))
+        if line.text in REQUEST_TEXTS
+        and wanted_id in (line.fields.get("request"), line.fields.get("program"))
     ]
 
 
-def _request(line: Line, lines: list[Line]) -> list[str]:
+def _format_request(line: LogLine, lines: list[LogLine]) -> list[str]:
     fields = line.fields
-    began = line.at - float(fields.get("took_ms", 0.0)) / MS_PER_S
-    told = [f"request {fields.get('request', '?')} at {line.instance}"]
-    told += [f"  {hop}" for hop in _hops(fields)]
-    told.append(f"  = {_outcome(line)}")
-    told += [f"  believed: {text}" for text in _beliefs(line, lines)]
-    told += [f"  server: {text}" for text in _servers(line, lines, began)]
+    started_at_s = line.timestamp_s - float(fields.get("took_ms", 0.0)) / MS_PER_S
+    output = [f"request {fields.get('request', '?')} at {line.instance}"]
+    output += [f"  {hop}" for hop in _format_hops(fields)]
+    output.append(f"  = {_format_outcome(line)}")
+    output += [f"  believed: {text}" for text in _format_process_state(line, lines)]
+    output += [
+        f"  server: {text}" for text in _format_servers(line, lines, started_at_s)
+    ]
     if line.instance == "?":
-        told.append("  missing: the instance's name, so nothing it believed is shown")
-    return told
+        output.append("  missing: the instance's name, so nothing it believed is shown")
+    return output
 
 
-def _hops(fields: Fields) -> list[str]:
+def _format_hops(fields: Fields) -> list[str]:
     hops = ["+0.0 ms arrives"]
     if "route" in fields:
         hops[0] += (
@@ -163,8 +198,8 @@
         )
     if fields.get("ledger_ms"):
         hops.append(f"+{fields['ledger_ms']} ms done with the ledger")
-    for place, server in enumerate(fields.get("servers", []), start=1):
-        hops.append(f"server {place} tried: {server}")
+    for position, server in enumerate(fields.get("servers", []), start=1):
+        hops.append(f"server {position} tried: {server}")
     if fields.get("first_ms"):
         hops.append(f"+{fields['first_ms']} ms first event to the caller")
     if "took_ms" in fields:
@@ -174,7 +209,7 @@
     return hops
 
 
-def _outcome(line: Line) -> str:
+def _format_outcome(line: LogLine) -> str:
     fields = line.fields
     status = fields.get("status", 0)
     events = fields.get("events", 0)
@@ -183,56 +218,67 @@
         outcome += f", {events} events"
     if fields.get("reason"):
         outcome += f", because: {fields['reason']}"
-    if status in SUCCESS:
+    if status in SUCCESS_STATUSES:
         return outcome
     if line.text == "request refused" or not fields.get("sent", False):
         return outcome + "; no server has run it"
     return outcome + "; a server may have run it"
 
 
-def _beliefs(line: Line, lines: list[Line]) -> list[str]:
-    told: list[str] = []
-    for kind in BELIEFS:
-        before = [
+def _format_process_state(line: LogLine, lines: list[LogLine]) -> list[str]:
+    output: list[str] = []
+    for kind in PROCESS_STATE_TEXTS:
+        earlier = [
             each
             for each in lines
             if each.instance == line.instance
             and each.text in kind
-            and each.at <= line.at
+            and each.timestamp_s <= line.timestamp_s
         ]
-        if before:
-            last = before[-1]
-            told.append(f"{line.at - last.at:.1f} s old: {_described(last)}")
-    return told
+        if earlier:
+            last = earlier[-1]
+            output.append(
+                f"{line.timestamp_s - last.timestamp_s:.1f} s old: {_format_line(last)}"
+            )
+    return output
 
 
-def _servers(line: Line, lines: list[Line], began: float) -> list[str]:
+def _format_servers(
+    line: LogLine, lines: list[LogLine], started_at_s: float
+) -> list[str]:
     tried = set(line.fields.get("servers", []))
-    told: list[str] = []
+    output: list[str] = []
     for each in lines:
-        if each.text not in SERVER_LINES or each.fields.get("server") not in tried:
+        if each.text not in SERVER_TEXTS or each.fields.get("server") not in tried:
             continue
-        if began - SERVER_WINDOW_S <= each.at <= line.at + SERVER_WINDOW_S:
-            told.append(
-                f"{each.at - began:+.1f} s at {each.instance}: {_described(each)}"
+        if (
+            started_at_s - SERVER_WINDOW_S
+            <= each.timestamp_s
+            <= line.timestamp_s + SERVER_WINDOW_S
+        ):
+            output.append(
+                f"{each.timestamp_s - started_at_s:+.1f} s at {each.instance}: "
+                f"{_format_line(each)}"
             )
-    return told
+    return output
 
 
-def _described(line: Line) -> str:
-    more = [f"{k}={v}" for k, v in line.fields.items() if k not in SHOWN]
-    return " ".join([line.text, *more])
+def _format_line(line: LogLine) -> str:
+    other_fields = [
+        f"{k}={v}" for k, v in line.fields.items() if k not in OMITTED_FIELDS
+    ]
+    return " ".join([line.text, *other_fields])
 
 
-def _sum(found: list[Line]) -> str:
+def _format_totals(found: list[LogLine]) -> str:
     statuses: dict[str, int] = {}
     for line in found:
         status = str(line.fields.get("status", 0))
         statuses[status] = statuses.get(status, 0) + 1
-    counted = ", ".join(f"{n} x {status}" for status, n in sorted(statuses.items()))
-    seconds = found[-1].at - found[0].at
-    return f"{len(found)} requests in {seconds:.1f} s: {counted}"
+    counts = ", ".join(f"{n} x {status}" for status, n in sorted(statuses.items()))
+    duration_s = found[-1].timestamp_s - found[0].timestamp_s
+    return f"{len(found)} requests in {duration_s:.1f} s: {counts}"
 
 
-def _count(lines: list[Line]) -> int:
+def _count_instances(lines: list[LogLine]) -> int:
     return len({line.instance for line in lines})
