--- a/tests/operators/test_changes.py
+++ b/tests/operators/test_changes.py
@@ -93,8 +93,8 @@
     kv.writes_to_delay = 1
     assert isinstance(make_named_change(kv, "appraisal"), ConfirmedChange)
     revision = kv.kv.revision
-    for late_writes in kv.late_writes:
-        assert isinstance(kv.kv.swap(late_writes), KvConflict)
+    for write in kv.late_writes:
+        assert isinstance(kv.kv.swap(write), KvConflict)
     assert kv.kv.revision == revision
 
 
@@ -119,8 +119,8 @@
     assert (outcome.code, outcome.ran) == (Code.OUTCOME_UNKNOWN, "unknown")
     kv.writes_to_delay = 0
     kv.kv.swap(kv.late_writes[0])
-    again = make_named_change(kv, "appraisal")
-    assert isinstance(again, ConfirmedChange)
+    repeated = make_named_change(kv, "appraisal")
+    assert isinstance(repeated, ConfirmedChange)
     assert kv.config().changes == ("change-appraisal",)
 
 
--- a/tests/operators/test_losses.py
+++ b/tests/operators/test_losses.py
@@ -30,23 +30,23 @@
 GOLDEN = Path(__file__).parent / "golden" / "losses.txt"
 
 
-def request_line(at: float = 100.0, status: int = 200, **fields: Any) -> str:
-    defaults = {"time": at, "text": "request ended", "instance": "relay-lac-1"}
+def request_line(timestamp_s: float = 100.0, status: int = 200, **fields: Any) -> str:
+    defaults = {"time": timestamp_s, "text": "request ended", "instance": "relay-lac-1"}
     rest = {"status": status, "took_ms": 10.0, "left_ms": 900, "sent": status != 503}
     return json.dumps({**defaults, **rest, **fields})
 
 
 def count_lines(
-    raw: list[str], target_text: str = "", interval_s: float = 2.0
+    raw_lines: list[str], target_text: str = "", interval_s: float = 2.0
 ) -> LossStats:
     target_latencies = parse_target_latencies(target_text)
     assert not isinstance(target_latencies, BadSetting)
-    return count_losses(raw, target_latencies, interval_s)
+    return count_losses(raw_lines, target_latencies, interval_s)
 
 
 def format_case(given: str) -> str:
-    target_text, *raw = given.split("\n")
-    return format_text(count_lines(raw, target_text.removeprefix("aims").strip()))
+    target_text, *raw_lines = given.split("\n")
+    return format_text(count_lines(raw_lines, target_text.removeprefix("aims").strip()))
 
 
 def test_golden_output() -> None:
@@ -54,11 +54,11 @@
 
 
 def test_every_line_is_counted_once_in_each_table() -> None:
-    raw = GOLDEN.read_text("utf-8").splitlines()
-    data = json.loads(encode_json(count_lines(raw, "turn=1")))
+    raw_lines = GOLDEN.read_text("utf-8").splitlines()
+    data = json.loads(encode_json(count_lines(raw_lines, "turn=1")))
     lines = data["lines"]
     skipped_count = sum(lines["no_lines"].values())
-    assert lines["read"] == len(raw)
+    assert lines["read"] == len(raw_lines)
     assert lines["requests"] + lines["others"] + skipped_count == lines["read"]
     for table in (data["reasons"], data["times"], data["instances"].values()):
         assert sum(row["requests"] for row in table) == lines["requests"]
@@ -81,7 +81,7 @@
         '{"time":100,"text":"stopped before all was done","instance":"relay-lac-1"}'
     )
     interrupted_text = "request broken off"
-    raw = [
+    raw_lines = [
         abort_line,
         request_line(100.1, 0, text=interrupted_text),
         request_line(101.5, 0, text=interrupted_text),
@@ -89,7 +89,7 @@
     ]
     rows = {
         str(key.cause): g.counts.total()
-        for key, g in count_lines(raw).by_classification.items()
+        for key, g in count_lines(raw_lines).by_classification.items()
     }
     assert rows == {"relay stopping": 1, "caller left": 2}
 
@@ -107,10 +107,10 @@
 
 
 def test_output_lists_some_programs_and_counts_the_rest() -> None:
-    raw = [request_line(100.0 + n, 500, program=f"p{n}") for n in range(30)]
-    output = format_text(count_lines(raw))
+    raw_lines = [request_line(100.0 + n, 500, program=f"p{n}") for n in range(30)]
+    output = format_text(count_lines(raw_lines))
     assert f"and {30 - MAX_PROGRAMS} later ones" in output
-    assert len(json.loads(encode_json(count_lines(raw)))["programs"]) == 30
+    assert len(json.loads(encode_json(count_lines(raw_lines)))["programs"]) == 30
 
 
 def test_lines_with_impossible_times_are_skipped() -> None:
@@ -165,8 +165,8 @@
     # The clock advances by a second with each reading, so that a message is due after
     # five readings.
     seconds = iter(range(100))
-    raw = [request_line()] * (LINES_PER_CLOCK_READ * 12)
-    count_losses(raw, {}, 2.0, clock=lambda: float(next(seconds)))
+    raw_lines = [request_line()] * (LINES_PER_CLOCK_READ * 12)
+    count_losses(raw_lines, {}, 2.0, clock=lambda: float(next(seconds)))
     stderr = capsys.readouterr().err.splitlines()
     assert PROGRESS_INTERVAL_S == 5.0
     assert stderr[0] == f"wisteriastair: {LINES_PER_CLOCK_READ * 5} lines read"
@@ -186,10 +186,10 @@
 
 def test_customers_with_most_losses_come_first() -> None:
     """The customer with the highest fraction of lost requests comes first."""
-    raw = [request_line(customer=f"c{n}") for n in range(MAX_CUSTOMERS + 1)]
-    raw += [request_line(status=429, sent=False, customer="worst")] * 2
-    raw.append(request_line(customer="worst"))
-    stats = count_lines(raw)
+    raw_lines = [request_line(customer=f"c{n}") for n in range(MAX_CUSTOMERS + 1)]
+    raw_lines += [request_line(status=429, sent=False, customer="worst")] * 2
+    raw_lines.append(request_line(customer="worst"))
+    stats = count_lines(raw_lines)
     customers = json.loads(encode_json(stats))["customers"]
     assert next(iter(customers)) == "worst"
     assert (customers["worst"]["requests"], customers["worst"]["refused"]) == (3, 2)
--- a/wisteriastair/operators/__init__.py
+++ b/wisteriastair/operators/__init__.py
@@ -1,1 +1,1 @@
-"""The operators: their query and command language."""
+"""Tools for operators: command language, HTTP API, client and log analysis."""
--- a/wisteriastair/operators/losscount.py
+++ b/wisteriastair/operators/losscount.py
@@ -41,7 +41,7 @@
     classification: Classification
 
 
-class Group:
+class RequestGroup:
     """Number of requests of each outcome in one row of a table.
 
     Attributes
@@ -100,11 +100,11 @@
         self.request_count = 0
         self.other_line_count = 0
         self.skipped_lines: Counter[str] = Counter()
-        self.by_classification: dict[Classification, Group] = {}
-        self.by_interval: dict[int, Group] = {}
-        self.by_instance: dict[str, Group] = {}
-        self.by_customer: dict[str, Group] = {}
-        self.by_program: dict[str, Group] = {}
+        self.by_classification: dict[Classification, RequestGroup] = {}
+        self.by_interval: dict[int, RequestGroup] = {}
+        self.by_instance: dict[str, RequestGroup] = {}
+        self.by_customer: dict[str, RequestGroup] = {}
+        self.by_program: dict[str, RequestGroup] = {}
         self.lost_without_program = 0
         self.routes_with_target: set[str] = set()
         self.routes_without_target: set[str] = set()
@@ -174,9 +174,9 @@
 
 
 def _add_to_group(
-    groups: dict[Key, Group], key: Key, classified: ClassifiedRequest
+    groups: dict[Key, RequestGroup], key: Key, classified: ClassifiedRequest
 ) -> None:
     group = groups.get(key)
     if group is None:
-        group = groups[key] = Group(classified)
+        group = groups[key] = RequestGroup(classified)
     group.add(classified)
--- a/wisteriastair/operators/losstables.py
+++ b/wisteriastair/operators/losstables.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from .endings import LOST_OUTCOMES, Classification, Outcome
-from .losscount import Group, LossStats
+from .losscount import LossStats, RequestGroup
 from .tables import Cell, Table, format_table
 
 # Rows of the text tables by program and by customer; the JSON output has all rows.
@@ -86,14 +86,14 @@
     return {"outcome": classification.outcome.value, "why": classification.cause.value}
 
 
-def _first_request_fields(group: Group) -> dict[str, Any]:
+def _first_request_fields(group: RequestGroup) -> dict[str, Any]:
     return {
         "first_at": group.first.timestamp_s,
         "first_request": group.first.request_id,
     }
 
 
-def _count_fields(group: Group) -> dict[str, Any]:
+def _count_fields(group: RequestGroup) -> dict[str, Any]:
     counts = {outcome.value: group.counts[outcome] for outcome in OUTCOMES}
     return {"requests": group.counts.total(), **counts}
 
@@ -103,10 +103,10 @@
     return min(stats.by_interval, default=0) * stats.interval_s
 
 
-def _sort_by_outcome(stats: LossStats) -> list[tuple[Classification, Group]]:
+def _sort_by_outcome(stats: LossStats) -> list[tuple[Classification, RequestGroup]]:
     """Sort groups by outcome, and by descending number of requests."""
 
-    def sort_key(row: tuple[Classification, Group]) -> tuple[int, int, str]:
+    def sort_key(row: tuple[Classification, RequestGroup]) -> tuple[int, int, str]:
         classification, group = row
         return (
             OUTCOMES.index(classification.outcome),
@@ -117,7 +117,7 @@
     return sorted(stats.by_classification.items(), key=sort_key)
 
 
-def _sort_programs(stats: LossStats) -> list[tuple[str, Group]]:
+def _sort_programs(stats: LossStats) -> list[tuple[str, RequestGroup]]:
     return sorted(
         stats.by_program.items(), key=lambda row: (row[1].first.timestamp_s, row[0])
     )
@@ -195,10 +195,10 @@
     return _format_outcomes("instance", sorted(stats.by_instance.items()))
 
 
-def _sort_customers(stats: LossStats) -> list[tuple[str, Group]]:
+def _sort_customers(stats: LossStats) -> list[tuple[str, RequestGroup]]:
     """Sort customers by the fraction of their requests that was lost, highest first."""
 
-    def sort_key(row: tuple[str, Group]) -> tuple[float, str]:
+    def sort_key(row: tuple[str, RequestGroup]) -> tuple[float, str]:
         name, group = row
         lost = sum(group.counts[outcome] for outcome in LOST_OUTCOMES)
         return -lost / group.counts.total(), name
@@ -215,7 +215,9 @@
     return output
 
 
-def _format_outcomes(title: str, named_groups: Iterable[tuple[str, Group]]) -> str:
+def _format_outcomes(
+    title: str, named_groups: Iterable[tuple[str, RequestGroup]]
+) -> str:
     rows: list[tuple[Cell, ...]] = []
     total: Counter[Outcome] = Counter()
     for name, group in named_groups:
@@ -257,7 +259,7 @@
     return "\n\n".join(output)
 
 
-def _format_offset(group: Group, start_s: float) -> str:
+def _format_offset(group: RequestGroup, start_s: float) -> str:
     return f"{group.first.timestamp_s - start_s:+z.3f} s"
 
 
--- a/wisteriastair/operators/trace.py
+++ b/wisteriastair/operators/trace.py
@@ -40,7 +40,7 @@
 SERVER_WINDOW_S: Final = 5.0
 MS_PER_S: Final = 1000.0
 SUCCESS_STATUSES: Final = range(200, 300)
-# Fields that every line has; they are not repeated in the description of a line.
+# Fields that every line has; they are left out of the description of a line.
 OMITTED_FIELDS: Final = frozenset(("time", "level", "logger", "text", "instance"))
 
 EXIT_NOT_FOUND: Final = 1
@@ -149,8 +149,8 @@
     list of str
         Lines of the output.
     """
-    found = _find_requests(lines, wanted_id)
-    if not found:
+    request_lines = _find_requests(lines, wanted_id)
+    if not request_lines:
         return [
             f"{wanted_id}: no line in {len(lines)} lines "
             f"of {_count_instances(lines)} processes.",
@@ -158,10 +158,10 @@
             "before the request ended: look for 'relay started' after its time.",
         ]
     output: list[str] = []
-    for line in found:
+    for line in request_lines:
         output += _format_request(line, lines)
-    if len(found) > 1:
-        output.append(_format_totals(found))
+    if len(request_lines) > 1:
+        output.append(_format_totals(request_lines))
     return output
 
 
@@ -227,13 +227,13 @@
 
 def _format_process_state(line: LogLine, lines: list[LogLine]) -> list[str]:
     output: list[str] = []
-    for kind in PROCESS_STATE_TEXTS:
+    for texts in PROCESS_STATE_TEXTS:
         earlier = [
-            each
-            for each in lines
-            if each.instance == line.instance
-            and each.text in kind
-            and each.timestamp_s <= line.timestamp_s
+            other
+            for other in lines
+            if other.instance == line.instance
+            and other.text in texts
+            and other.timestamp_s <= line.timestamp_s
         ]
         if earlier:
             last = earlier[-1]
@@ -246,19 +246,22 @@
 def _format_servers(
     line: LogLine, lines: list[LogLine], started_at_s: float
 ) -> list[str]:
-    tried = set(line.fields.get("servers", []))
+    tried_servers = set(line.fields.get("servers", []))
     output: list[str] = []
-    for each in lines:
-        if each.text not in SERVER_TEXTS or each.fields.get("server") not in tried:
+    for other in lines:
+        if (
+            other.text not in SERVER_TEXTS
+            or other.fields.get("server") not in tried_servers
+        ):
             continue
         if (
             started_at_s - SERVER_WINDOW_S
-            <= each.timestamp_s
+            <= other.timestamp_s
             <= line.timestamp_s + SERVER_WINDOW_S
         ):
             output.append(
-                f"{each.timestamp_s - started_at_s:+.1f} s at {each.instance}: "
-                f"{_format_line(each)}"
+                f"{other.timestamp_s - started_at_s:+.1f} s at {other.instance}: "
+                f"{_format_line(other)}"
             )
     return output
 
@@ -270,14 +273,14 @@
     return " ".join([line.text, *other_fields])
 
 
-def _format_totals(found: list[LogLine]) -> str:
+def _format_totals(request_lines: list[LogLine]) -> str:
     statuses: dict[str, int] = {}
-    for line in found:
+    for line in request_lines:
         status = str(line.fields.get("status", 0))
         statuses[status] = statuses.get(status, 0) + 1
     counts = ", ".join(f"{n} x {status}" for status, n in sorted(statuses.items()))
-    duration_s = found[-1].timestamp_s - found[0].timestamp_s
-    return f"{len(found)} requests in {duration_s:.1f} s: {counts}"
+    duration_s = request_lines[-1].timestamp_s - request_lines[0].timestamp_s
+    return f"{len(request_lines)} requests in {duration_s:.1f} s: {counts}"
 
 
 def _count_instances(lines: list[LogLine]) -> int:
