--- a/tests/core/test_keeper.py
+++ b/tests/core/test_keeper.py
@@ -138,13 +138,13 @@
     deployment.down = {"k0:1", "k1:1", "k2:1"}
     deployment.pass_time(10)
     assert len(deployment.view.members) == 4
-    assert alone.wishes(deployment.now).silent
+    assert alone.wishes(deployment.now).unresponsive
 
 
 def test_an_emptied_instance_leaves_and_nothing_is_missing() -> None:
     deployment = with_programs(20)
     for core in deployment.cores.values():
-        core.leaving = frozenset({"k2"})
+        core.retiring = frozenset({"k2"})
     deployment.pass_time(4)
     assert deployment.names() == ["k0", "k1"]
     assert deployment.view.old == ()
@@ -162,7 +162,7 @@
     """
     deployment = with_programs(20)
     for core in deployment.cores.values():
-        core.leaving = frozenset({"k2"})
+        core.retiring = frozenset({"k2"})
     deployment.pass_time(4)
     deployment.down |= {"k2:1", "k1:1"}
     deployment.pass_time(1)
@@ -188,7 +188,7 @@
     deployment.start("k9", "disk")
     deployment.pass_time(1)
     old = deployment.cores["k1:1"]
-    old.say_stopping(deployment.now)
+    old.announce_stop(deployment.now)
     deployment.deliver(old)
     deployment.down.add("k1:1")
     deployment.pass_time(3)
@@ -207,13 +207,13 @@
     deployment.write("p")
     deployment.down.add("k2:1")
     for core in deployment.cores.values():
-        core.leaving = frozenset({"k1"})
+        core.retiring = frozenset({"k1"})
     deployment.pass_time(6)
     assert deployment.names() == ["k0", "k1"]
     assert deployment.view.old == ()
     assert deployment.write("q") == 2
     newcomer = deployment.start("k9", "disk")
-    newcomer.leaving = frozenset({"k1"})
+    newcomer.retiring = frozenset({"k1"})
     deployment.pass_time(4)
     assert deployment.names() == ["k0", "k9"]
     assert len(newcomer.ledger.accounts) == 2
@@ -230,7 +230,7 @@
     deployment.write("p")
     fresh = deployment.start("k1", "second")
     for core in deployment.cores.values():
-        core.leaving = frozenset({"k1"})
+        core.retiring = frozenset({"k1"})
     deployment.pass_time(4)
     assert fresh.me in deployment.view.members
     assert deployment.view.old == ()
@@ -271,7 +271,9 @@
     """All members see the same need at one moment; one call to the store is enough."""
     deployment = Deployment(3)
     deployment.pass_time(5)
-    waits = [core.turn_s(deployment.now) for core in deployment.cores.values()]
+    waits = [
+        core.proposal_delay_s(deployment.now) for core in deployment.cores.values()
+    ]
     assert sorted(waits) == waits and len(set(waits)) == 3 and waits[0] == 0.0
 
 
@@ -301,7 +303,7 @@
     """
     me = Member("k", "disk", "k:1", "d")
     view = View(1, (me,))
-    core = KeeperCore(me, 0, view=view, entries=[], now=0.0, most_turn_bytes=2_500)
+    core = KeeperCore(me, 0, view=view, entries=[], now=0.0, max_turn_bytes=2_500)
     verdicts = []
     for number in range(4):
         turn = Turn(f"t{number}", "", b"x" * 1_000)
--- a/tests/core/test_keepers_model.py
+++ b/tests/core/test_keepers_model.py
@@ -72,7 +72,7 @@
 
     nodes: tuple[Node, ...]
     view: View
-    leaving: frozenset[str]
+    retiring: frozenset[str]
     counted: bool
     store_away: bool
     left: Bounds
@@ -113,10 +113,10 @@
     view: View,
     me: Member,
     disks: frozenset[str],
-    leaving: frozenset[str],
+    retiring: frozenset[str],
 ) -> View | None:
     listed = {m.disk for m in (*view.members, *view.old)}
-    wishes = Wishes(me, disks, frozenset(listed - disks), leaving)
+    wishes = Wishes(me, disks, frozenset(listed - disks), retiring)
     found = propose(view, wishes, LOSSES)
     # Numbers grow for ever; here nobody has an old view, so they say nothing.
     return None if found is None else found._replace(number=0)
@@ -125,7 +125,7 @@
 def proposals(world: World, propose: Propose) -> set[View]:
     disks = frozenset(node.member.disk for node in running(world))
     found = {
-        proposal(propose, world.view, node.member, disks, world.leaving)
+        proposal(propose, world.view, node.member, disks, world.retiring)
         for node in running(world)
     }
     return {view for view in found if view is not None}
@@ -245,14 +245,14 @@
         yield "the store is back", world._replace(store_away=False)
     if _left(world, "emptied"):
         for node in running(world):
-            leaving = world.leaving | {node.name}
+            retiring = world.retiring | {node.name}
             yield (
                 f"{node.name} is to be emptied",
-                spend(world._replace(leaving=leaving), "emptied"),
+                spend(world._replace(retiring=retiring), "emptied"),
             )
     listed = {m.name for m in (*world.view.members, *world.view.old)}
     for node in running(world):
-        if node.name in world.leaving - listed:
+        if node.name in world.retiring - listed:
             gone = node._replace(life=Life.GONE, lost=False)
             yield f"{node.name} is emptied and gone", changed(world, gone)
 
@@ -298,7 +298,7 @@
 
     With t instances or fewer no list can hold t + 1 copies: writes wait for the next.
     """
-    staying = [node for node in running(world) if node.name not in world.leaving]
+    staying = [node for node in running(world) if node.name not in world.retiring]
     if len(staying) <= LOSSES or not settled(world, propose):
         return True
     there = {node.member.disk for node in running(world)}
@@ -359,7 +359,7 @@
 def never_drops(view: View, wishes: Wishes, losses: int) -> View | None:
     """Leave a silent member in a list that has no more than 2t + 1."""
     if len(view.members) <= 2 * losses + 1:
-        wishes = wishes._replace(silent=frozenset())
+        wishes = wishes._replace(unresponsive=frozenset())
     return next_view(view, wishes, losses)
 
 
--- a/tests/core/test_ledger.py
+++ b/tests/core/test_ledger.py
@@ -77,7 +77,7 @@
 def test_account_expires_after_its_retention() -> None:
     ledger = Ledger()
     ledger.merge(settle("t1", 1, Turn("t1", "", b"12345")), 100.0)
-    assert ledger.held_bytes == 5
+    assert ledger.turn_bytes == 5
     assert ledger.expire(160.0) == []
     assert ledger.expire(166.0) == ["p"]
-    assert ledger.held_bytes == 0
+    assert ledger.turn_bytes == 0
--- a/tests/core/test_ledger_model.py
+++ b/tests/core/test_ledger_model.py
@@ -31,7 +31,7 @@
 MAX_STATES = 3_000_000
 NAMES = ("a", "b", "c", "d")
 FOUNDERS = 3
-LEAVING = frozenset({"a"})
+RETIRING = frozenset({"a"})
 
 
 class Node(NamedTuple):
@@ -66,12 +66,12 @@
     views: int = 3
     wipes: int = 0
     nodes: int = 4
-    leaving: bool = False
+    retiring: bool = False
 
 
 NEWCOMER: Final = Bounds()
 LOST_DISK: Final = Bounds(wipes=1, nodes=3)
-EMPTIED: Final = Bounds(leaving=True)
+EMPTIED: Final = Bounds(retiring=True)
 ALL: Final = Bounds(wipes=1)
 
 
@@ -126,8 +126,8 @@
     me = member(index, node.disk)
     everyone = frozenset({*others, node.disk})
     nobody: frozenset[str] = frozenset()
-    leaving = LEAVING if bounds.leaving else nobody
-    found = [Wishes(me, everyone, nobody, leaving)]
+    retiring = RETIRING if bounds.retiring else nobody
+    found = [Wishes(me, everyone, nobody, retiring)]
     found += [Wishes(me, everyone, frozenset({one}), nobody) for one in others]
     return found
 
--- a/tests/keeper/test_log.py
+++ b/tests/keeper/test_log.py
@@ -104,8 +104,8 @@
     log.close()
     log = Log(str(tmp_path))
     log.load(0.0)
-    oldest = log.oldest()
-    assert oldest is not None and oldest.programs == {"p1"}
+    oldest_segment = log.oldest_segment()
+    assert oldest_segment is not None and oldest_segment.programs == {"p1"}
     log.append([entry("p1")], None, 0.0)
     log.remove_oldest()
     log.close()
--- a/tests/keeper/test_storage.py
+++ b/tests/keeper/test_storage.py
@@ -84,9 +84,9 @@
             await bench.write(f"ends{number}", "a", float(number))
         full = segments(tmp_path)
         assert full > 5
-        assert not await bench.storage.give_back_space(30.0)
+        assert not await bench.storage.reclaim_space(30.0)
         await bench.write("lives", "late", 70.0)
-        while await bench.storage.give_back_space(90.0):
+        while await bench.storage.reclaim_space(90.0):
             pass
         assert segments(tmp_path) < full / 2
 
--- a/wisteriastair/core/keeper.py
+++ b/wisteriastair/core/keeper.py
@@ -1,10 +1,10 @@
-"""What a keeper of the ledger decides, without input or output.
+"""State machine of one keeper of the ledger, without I/O.
 
-The shell feeds in messages and the time, writes batches to disk, and sends what
-`take_outbox` returns.  Every answer waits for the sync of the batch that it stands on,
-so nothing is acknowledged that a power loss could take back.  The view belongs to that:
-a replica that forgot at a restart which view it had adopted would accept writes under
-an older one, after a new replica had copied from it.
+The daemon passes in messages and the time, writes batches to disk, and sends the
+messages that `take_outbox` returns.  Each reply waits until its batch is synced, so
+that acknowledged records survive a power loss.  Views are part of batches as well: a
+replica that lost its adopted view in a restart would accept writes under an older view
+after a new replica had copied from it.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from .ledger import Attempt, Entry, Ledger
 from .ledgerwire import (
     AskPermit,
-    Copy,
     CopyReply,
+    CopyRequest,
     Find,
     LedgerMessage,
     PermitReply,
@@ -32,74 +32,77 @@
 from .membership import SLOTS, Member, View, Wishes, must_copy, slot_of_program
 from .quota import Answer, Permit, QuotaBounds, QuotaHolder
 
-# Heartbeats between keepers, in seconds.
-PING_S: Final = 0.4
+# Interval of heartbeats between keepers.
+HEARTBEAT_INTERVAL_S: Final = 0.4
 NEVER: Final = -math.inf
-# Sent by a member that names no view; it may not take heartbeats without one either.
-NOTHING_KNOWN: Final = (0, 0)
-# A member that was heard from within this time counts as there.
-HEARD_S: Final = 1.5
-# A member silent for this long is taken as lost.  Longer than a restart or a short loss
-# of power, which bring the disk back.
-SILENT_S: Final = 4.0
-# The same for a member that said that it stops, or after whose last heartbeat another
-# one came, which may be its successor: five heartbeats.  The place of a member that is
-# gone for good is then free three seconds after its end, before its successor counts
-# as caught up (four seconds after its start on the deployments with the least time).
-# One that comes back after all joins again, which costs a few calls to the store.
-SUCCEEDED_S: Final = 2.0
-# A request to copy is sent again after this time without an answer.
-COPY_AGAIN_S: Final = 0.4
-# Members propose in their order, this many seconds apart: longer than a write and its
-# watch take, so that the next one sees it.
-TURN_S: Final = 0.25
-COPY_PART_BYTES: Final = 256 * 1024
-RECORD_BYTES: Final = 200
-NO_BOUNDS: Final = QuotaBounds()
-
-
-Request = Write | Find | Copy
+# View version in heartbeats of a member that does not report one.  It may not accept
+# heartbeats without a view either.
+NO_VIEW_VERSION: Final = (0, 0)
+# A member counts as reachable for this time after its last heartbeat.
+REACHABLE_TIMEOUT_S: Final = 1.5
+# A member without a heartbeat for this time is treated as lost.  Longer than a restart
+# or a short power loss, after which the disk is available again.
+UNRESPONSIVE_TIMEOUT_S: Final = 4.0
+# The same timeout for a member that announced its stop, or that may have a successor: a
+# new disk was discovered after the last heartbeat of the member.  Five heartbeats.  A
+# permanently lost member is then removed three seconds after its end, before its
+# successor counts as caught up (four seconds after its start on the deployments with
+# the shortest limits).  A member that returns after its removal joins again, which
+# costs a few store calls.
+DEPARTED_TIMEOUT_S: Final = 2.0
+# A copy request is sent again after this time without a reply.
+COPY_RETRY_S: Final = 0.4
+# Delay between the proposals of successive members: longer than a store write and its
+# watch event take, so that the next member sees the new view.
+PROPOSAL_STAGGER_S: Final = 0.25
+COPY_CHUNK_BYTES: Final = 256 * 1024
+ENTRY_OVERHEAD_BYTES: Final = 200
+DEFAULT_QUOTA_BOUNDS: Final = QuotaBounds()
+
+
+Request = Write | Find | CopyRequest
 
 
 class Batch(NamedTuple):
-    """What is to be synced together, and the answers that wait for it."""
+    """Records and a view to sync together, and the requests to answer afterwards."""
 
     entries: list[Entry]
     view: View | None
-    answers: list[tuple[str, Request]]
+    requests: list[tuple[str, Request]]
 
 
-class _Source(NamedTuple):
+class _CopySource(NamedTuple):
     """Progress of a copy from one old replica."""
 
     member: Member
     slots: tuple[int, ...]
     after: str
     op: int
-    asked_at: float
+    requested_at: float
     done: bool
 
 
 class KeeperCore:
-    """State of one keeper.
+    """State machine of one keeper.
 
     Parameters
     ----------
     me : Member
         This instance and its disk.
     losses : int
-        Members that may be lost at once.
+        Number of members that may fail at the same time.
     view : View
-        The newest view that the disk held.
+        The newest view on the disk.
     entries : list of Entry
-        Records that the disk held.
+        Records on the disk.
     now : float
-        Seconds of a clock that never goes back.
-    most_turn_bytes : float
-        Bytes of turns that are held; a turn beyond is refused.  Without a bound a burst
-        of long chains would have the process killed, and all its replicas with it.
+        Time of a monotonic clock, in seconds.
+    max_turn_bytes : float
+        Limit for the bytes of stored turns; turns beyond it are refused.  Without a
+        limit, a burst of long chains would exhaust the memory, and the process would
+        be killed with all its replicas.
     quota_bounds : QuotaBounds
-        How customers' quotas are judged.
+        Bounds within which customers' quotas are enforced.
     """
 
     def __init__(
@@ -110,90 +113,91 @@
         view: View,
         entries: list[Entry],
         now: float,
-        most_turn_bytes: float = math.inf,
-        quota_bounds: QuotaBounds = NO_BOUNDS,
+        max_turn_bytes: float = math.inf,
+        quota_bounds: QuotaBounds = DEFAULT_QUOTA_BOUNDS,
     ) -> None:
         self.me = me
         self.view = view
         self.view_revision = 0
         self.ledger = Ledger()
         self.quota = QuotaHolder(me, quota_bounds, view.members, now)
-        self.leaving: frozenset[str] = frozenset()
+        self.retiring: frozenset[str] = frozenset()
         self.stale_refused = 0
         self.batches_synced = 0
         self._losses = losses
-        self._most_turn_bytes = most_turn_bytes
-        self._started = now
-        # By disk: last heartbeat, when it entered the list, when it was first heard of
-        # without being in the list, and who said that it stops.
-        self._heard: dict[str, float] = {}
-        self._entered: dict[str, float] = {}
-        self._arrived: dict[str, float] = {}
-        self._stopped: set[str] = set()
-        # By address: last heartbeat, and which view it named.
-        self._pinged_by: dict[str, float] = {}
-        self._known_by: dict[str, tuple[int, int]] = {}
+        self._max_turn_bytes = max_turn_bytes
+        self._started_at = now
+        # By disk: time of the last heartbeat, of the addition to the view, and of the
+        # first heartbeat that arrived while the disk was in no view.
+        self._heartbeat_at: dict[str, float] = {}
+        self._added_at: dict[str, float] = {}
+        self._discovered_at: dict[str, float] = {}
+        # Disks whose keepers announced their stop.
+        self._stopping_disks: set[str] = set()
+        # By address: time of the last heartbeat, and the view version that it reported.
+        self._heartbeat_from: dict[str, float] = {}
+        self._view_version_of: dict[str, tuple[int, int]] = {}
         self._outbox: list[tuple[str, LedgerMessage]] = []
-        self._entries: list[Entry] = []
-        self._view_dirty = False
-        self._answers: list[tuple[str, Request]] = []
-        self._sources: dict[str, _Source] = {}
-        self._copied: set[str] = set()
-        self._copy_number = 0
-        self._op = 0
-        self._next_ping = now
+        self._unsynced_entries: list[Entry] = []
+        self._view_unsynced = False
+        self._requests: list[tuple[str, Request]] = []
+        self._sources: dict[str, _CopySource] = {}
+        self._copied_disks: set[str] = set()
+        self._copy_view_number = 0
+        self._last_op = 0
+        self._next_heartbeat_at = now
         self._syncing = False
         if me not in view.members:
-            self._arrived[me.disk] = now
+            self._discovered_at[me.disk] = now
         for entry in entries:
             self.ledger.merge(entry, now)
-        self._plan_copy(now)
+        self._plan_copies(now)
 
     # Messages
 
     def receive(self, sender: str, message: LedgerMessage, now: float) -> None:
-        """Take a message; answers appear in a batch or in the outbox."""
+        """Handle a message; replies appear in a batch or in the outbox."""
         match message:
             case Write() | Find():
                 self._on_request(sender, message, now)
             case Spread(write, others, origin):
-                self._pass_on(write, others, origin or sender)
+                self._forward(write, others, origin or sender)
                 self._on_request(origin or sender, write, now)
-            case Ping(disk, view, revision, stopping, known):
-                self._note_heartbeat(disk, stopping, now)
-                self._pinged_by[address_of(sender)] = now
-                self._known_by[address_of(sender)] = known
+            case Ping(disk, view, revision, stopping, view_version):
+                self._record_heartbeat(disk, stopping, now)
+                self._heartbeat_from[address_of(sender)] = now
+                self._view_version_of[address_of(sender)] = view_version
                 if view is not None:
                     self.adopt(view, now, revision)
-                elif known == self._known:
+                elif view_version == self._view_version:
                     self.view_revision = max(self.view_revision, revision)
             case AskPermit():
-                self._on_permit(sender, message, now)
-            case Copy():
-                self._on_copy(sender, message)
+                self._on_permit_request(sender, message, now)
+            case CopyRequest():
+                self._on_copy_request(sender, message)
             case CopyReply():
                 self._on_copy_reply(message, now)
             case _:
-                # Answers to relays, and what the shell answers itself.
+                # Replies to relays, and messages that the daemon handles itself.
                 pass
 
-    def _note_heartbeat(self, disk: str, stopping: bool, now: float) -> None:
-        self._heard[disk] = now
+    def _record_heartbeat(self, disk: str, stopping: bool, now: float) -> None:
+        self._heartbeat_at[disk] = now
         if stopping:
-            self._stopped.add(disk)
+            self._stopping_disks.add(disk)
         else:
-            self._stopped.discard(disk)
+            self._stopping_disks.discard(disk)
         if disk not in _disks(self.view):
-            self._arrived.setdefault(disk, now)
+            self._discovered_at.setdefault(disk, now)
 
-    def _pass_on(self, write: Write, others: list[str], origin: str) -> None:
-        """Pass a write on, whatever becomes of it here: each replica judges itself."""
+    def _forward(self, write: Write, others: list[str], origin: str) -> None:
+        """Forward a write, accepted here or not: each replica checks it itself."""
         for address in others:
             self._outbox.append((address, Spread(write, [], origin)))
 
     def _on_request(self, sender: str, request: Write | Find, now: float) -> None:
-        verdict = self._verdict(request.view)
-        if verdict is Verdict.DONE and self._is_full_for(request):
+        verdict = self._check_view(request.view)
+        if verdict is Verdict.DONE and self._exceeds_capacity(request):
             verdict = Verdict.NOT_NOW
         if verdict is not Verdict.DONE:
             view = self.view if verdict is Verdict.STALE_VIEW else None
@@ -203,34 +207,34 @@
         if isinstance(request, Write):
             new = self.ledger.merge(request.entry, now)
             if new is not None:
-                self._entries.append(new)
-        self._answers.append((sender, request))
+                self._unsynced_entries.append(new)
+        self._requests.append((sender, request))
 
-    def _on_permit(self, sender: str, asked: AskPermit, now: float) -> None:
-        """Answer a question for a permit.
+    def _on_permit_request(self, sender: str, request: AskPermit, now: float) -> None:
+        """Answer a request for a permit.
 
-        One that is cut off from most members may have been replaced as a holder without
-        having heard of it; its permits would then come on top of its successor's.
+        A member that cannot reach most others may have been replaced as a quota holder
+        without being notified; its permits would add to those of its successor.
         """
         permit = Permit(Answer.NOT_MINE)
-        if self._hears_most(now):
+        if self._reaches_majority(now):
             permit = self.quota.ask(
-                asked.customer, asked.program, asked.kind, asked.ahead, now
+                request.customer, request.program, request.kind, request.ahead, now
             )
-        self._outbox.append((sender, PermitReply(asked.op, permit)))
+        self._outbox.append((sender, PermitReply(request.op, permit)))
 
-    def _hears_most(self, now: float) -> bool:
+    def _reaches_majority(self, now: float) -> bool:
         members = self.view.members
-        heard = sum(self._is_heard(member.disk, now) for member in members)
-        return 2 * heard > len(members)
+        reachable = sum(self._is_reachable(member.disk, now) for member in members)
+        return 2 * reachable > len(members)
 
-    def _is_full_for(self, request: Write | Find) -> bool:
+    def _exceeds_capacity(self, request: Write | Find) -> bool:
         if not isinstance(request, Write) or not request.entry.turns:
             return False
         size = sum(len(turn.said) for turn in request.entry.turns)
-        return self.ledger.held_bytes + size > self._most_turn_bytes
+        return self.ledger.turn_bytes + size > self._max_turn_bytes
 
-    def _verdict(self, number: int) -> Verdict:
+    def _check_view(self, number: int) -> Verdict:
         if number < self.view.number:
             self.stale_refused += 1
             return Verdict.STALE_VIEW
@@ -239,48 +243,52 @@
             return Verdict.NOT_NOW
         return Verdict.DONE
 
-    def _on_copy(self, sender: str, copy: Copy) -> None:
-        if self._verdict(copy.view) is Verdict.DONE:
-            self._answers.append((sender, copy))
+    def _on_copy_request(self, sender: str, request: CopyRequest) -> None:
+        if self._check_view(request.view) is Verdict.DONE:
+            self._requests.append((sender, request))
             return
-        reply = CopyReply(copy.op, self.me.disk, Verdict.NOT_NOW)
+        reply = CopyReply(request.op, self.me.disk, Verdict.NOT_NOW)
         self._outbox.append((sender, reply))
 
     # Batches
 
     def take_batch(self) -> Batch | None:
-        """Take what waits for a sync, or None."""
-        if not self._entries and not self._view_dirty and not self._answers:
+        """Return and clear what waits for a sync, or None."""
+        if (
+            not self._unsynced_entries
+            and not self._view_unsynced
+            and not self._requests
+        ):
             return None
-        view = self.view if self._view_dirty else None
-        batch = Batch(self._entries, view, self._answers)
-        self._entries = []
-        self._answers = []
-        self._view_dirty = False
+        view = self.view if self._view_unsynced else None
+        batch = Batch(self._unsynced_entries, view, self._requests)
+        self._unsynced_entries = []
+        self._requests = []
+        self._view_unsynced = False
         self._syncing = True
         return batch
 
     def synced(self, batch: Batch) -> None:
-        """Answer what waited for a batch, now that it is durable."""
+        """Answer the requests of a batch that is now durable."""
         self._syncing = False
         self.batches_synced += 1
-        for sender, request in batch.answers:
-            if isinstance(request, Copy):
-                self._outbox.append((sender, self._copy_part(request)))
+        for sender, request in batch.requests:
+            if isinstance(request, CopyRequest):
+                self._outbox.append((sender, self._make_copy_reply(request)))
             else:
-                self._outbox.append((sender, self._reply(request)))
+                self._outbox.append((sender, self._make_reply(request)))
 
-    def not_synced(self, batch: Batch) -> None:
-        """Refuse what waited for a batch that the disk did not take.
+    def on_sync_failed(self, batch: Batch) -> None:
+        """Refuse the requests of a batch that could not be written.
 
-        Its records are in memory, so a request sent again would not find them new;
-        they go into the next batch.
+        Its records are merged in memory already, so a repeated request would not count
+        them as new.  They are added to the next batch instead.
         """
         self._syncing = False
-        self._entries = batch.entries + self._entries
-        self._view_dirty = self._view_dirty or batch.view is not None
-        for sender, request in batch.answers:
-            if isinstance(request, Copy):
+        self._unsynced_entries = batch.entries + self._unsynced_entries
+        self._view_unsynced = self._view_unsynced or batch.view is not None
+        for sender, request in batch.requests:
+            if isinstance(request, CopyRequest):
                 refusal: LedgerMessage = CopyReply(
                     request.op, self.me.disk, Verdict.NOT_NOW
                 )
@@ -289,17 +297,17 @@
             self._outbox.append((sender, refusal))
 
     def take_outbox(self) -> list[tuple[str, LedgerMessage]]:
-        """Take messages to send."""
+        """Return and clear the messages to send."""
         outbox = self._outbox
         self._outbox = []
         return outbox
 
-    def _reply(self, request: Write | Find) -> WriteReply:
+    def _make_reply(self, request: Write | Find) -> WriteReply:
         attempts: dict[str, Attempt] = {}
         if isinstance(request, Write):
             account = self.ledger.accounts.get(request.entry.program)
             attempts = {} if account is None else dict(account.attempts)
-        home, chain = self.ledger.find(request.chain)
+        home, chain = self.ledger.find(request.last_turn_id)
         return WriteReply(
             request.op,
             self.me.disk,
@@ -310,35 +318,35 @@
             home=home,
         )
 
-    def _copy_part(self, copy: Copy) -> CopyReply:
-        wanted = set(copy.slots)
-        programs = sorted(p for p in self.ledger.accounts if p > copy.after)
+    def _make_copy_reply(self, request: CopyRequest) -> CopyReply:
+        slots = set(request.slots)
+        programs = sorted(p for p in self.ledger.accounts if p > request.after)
         entries: list[Entry] = []
         size = 0
         for program in programs:
-            if slot_of_program(program) not in wanted:
+            if slot_of_program(program) not in slots:
                 continue
-            if size >= COPY_PART_BYTES:
-                return CopyReply(copy.op, self.me.disk, Verdict.DONE, entries, False)
-            entry = self.ledger.accounts[program].whole()
+            if size >= COPY_CHUNK_BYTES:
+                return CopyReply(request.op, self.me.disk, Verdict.DONE, entries, False)
+            entry = self.ledger.accounts[program].to_entry()
             entries.append(entry)
-            size += RECORD_BYTES + sum(len(turn.said) for turn in entry.turns)
-        return CopyReply(copy.op, self.me.disk, Verdict.DONE, entries, True)
+            size += ENTRY_OVERHEAD_BYTES + sum(len(turn.said) for turn in entry.turns)
+        return CopyReply(request.op, self.me.disk, Verdict.DONE, entries, True)
 
-    def rewrite(self, programs: set[str]) -> int:
-        """Write accounts again, whole, with the next batch; return its number."""
+    def rewrite_accounts(self, programs: set[str]) -> int:
+        """Add complete accounts to the next batch; return its number."""
         for program in programs & self.ledger.accounts.keys():
-            self._entries.append(self.ledger.accounts[program].whole())
-        self._view_dirty = True
+            self._unsynced_entries.append(self.ledger.accounts[program].to_entry())
+        self._view_unsynced = True
         return self.batches_synced + (2 if self._syncing else 1)
 
     # Views
 
     def adopt(self, view: View, now: float, revision: int) -> bool:
-        """Take a view if it is newer than the one known.
+        """Adopt a view if it is newer than the current one.
 
-        It is passed on at once: when the store is slow, members would otherwise learn
-        of each step of a change only as late as it answers their watches.
+        It is sent to the other members at once: they would otherwise receive each step
+        of a change from their watches only, which are late if the store is slow.
 
         Parameters
         ----------
@@ -346,97 +354,115 @@
             Revision of the store at which the view was written.
         """
         self.view_revision = max(self.view_revision, revision)
-        if (view.number, len(view.synced)) <= self._known:
+        if (view.number, len(view.synced)) <= self._view_version:
             return False
-        self._next_ping = now
+        self._next_heartbeat_at = now
         renumbered = view.number > self.view.number
         for disk in _disks(view) - _disks(self.view):
-            self._entered[disk] = now
+            self._added_at[disk] = now
         self.view = view
         self.quota.take_members(view.members, now)
-        self._view_dirty = True
+        self._view_unsynced = True
         if renumbered:
-            self._plan_copy(now)
+            self._plan_copies(now)
         return True
 
     @property
-    def _known(self) -> tuple[int, int]:
+    def _view_version(self) -> tuple[int, int]:
         return self.view.number, len(self.view.synced)
 
     def wishes(self, now: float) -> Wishes:
-        """Tell what this member knows when it considers a change of the view."""
-        heard = {disk for disk in self._heard if self._is_heard(disk, now)}
-        silent = {disk for disk in _disks(self.view) if self._is_silent(disk, now)}
+        """Return the input of this member to a decision on the next view."""
+        reachable = {
+            disk for disk in self._heartbeat_at if self._is_reachable(disk, now)
+        }
+        unresponsive = {
+            disk for disk in _disks(self.view) if self._is_unresponsive(disk, now)
+        }
         return Wishes(
-            self.me, frozenset(heard | {self.me.disk}), frozenset(silent), self.leaving
+            self.me,
+            frozenset(reachable | {self.me.disk}),
+            frozenset(unresponsive),
+            self.retiring,
         )
 
-    def _is_heard(self, disk: str, now: float) -> bool:
-        return disk == self.me.disk or now - self._heard.get(disk, NEVER) <= HEARD_S
+    def _is_reachable(self, disk: str, now: float) -> bool:
+        return (
+            disk == self.me.disk
+            or now - self._heartbeat_at.get(disk, NEVER) <= REACHABLE_TIMEOUT_S
+        )
 
-    def _is_silent(self, disk: str, now: float) -> bool:
+    def _is_unresponsive(self, disk: str, now: float) -> bool:
         if disk == self.me.disk:
             return False
-        # One that another member has just taken into the list is given time to be
-        # heard here: else two that disagree would change the list in turns.
-        last = self._heard.get(disk, self._started)
-        since = max(last, self._entered.get(disk, self._started))
-        gone = disk in self._stopped or self._has_successor(since, now)
-        return now - since > (SUCCEEDED_S if gone else SILENT_S)
+        # A member that has just been added to the view gets time to send a heartbeat:
+        # otherwise two members that disagree would add and remove it in alternation.
+        last_heartbeat = self._heartbeat_at.get(disk, self._started_at)
+        since = max(last_heartbeat, self._added_at.get(disk, self._started_at))
+        has_departed = disk in self._stopping_disks or self._has_successor(since, now)
+        return now - since > (
+            DEPARTED_TIMEOUT_S if has_departed else UNRESPONSIVE_TIMEOUT_S
+        )
 
     def _has_successor(self, since: float, now: float) -> bool:
         return any(
-            at > since and self._is_heard(disk, now)
-            for disk, at in self._arrived.items()
+            at > since and self._is_reachable(disk, now)
+            for disk, at in self._discovered_at.items()
         )
 
     def has_copied(self) -> bool:
-        """Whether all that the present change needs of this member is durable here."""
+        """Whether this member has durably copied all that the current change needs."""
         if not self.view.old or self.me not in self.view.members:
             return False
         return (
-            self._copy_number == self.view.number
+            self._copy_view_number == self.view.number
             and len(self._sources) > 0
-            and self._copy_complete()
-            and not self._entries
+            and self._copies_complete()
+            and not self._unsynced_entries
             and not self._syncing
             and self.me.disk not in self.view.synced
         )
 
-    def turn_s(self, now: float) -> float:
-        """Seconds to wait with a proposal that any member could make.
+    def proposal_delay_s(self, now: float) -> float:
+        """Return the delay of a proposal that any member could make, in seconds.
 
-        All members see the same need at the same moment; if all wrote at once, all but
-        one would have paid for a call that is refused.
+        All members detect the need for a change at the same time.  If all of them wrote
+        at once, every store call but one would be refused.
         """
         before = [
             member
             for member in self.view.members
-            if member < self.me and self._is_heard(member.disk, now)
+            if member < self.me and self._is_reachable(member.disk, now)
         ]
-        return TURN_S * len(before)
+        return PROPOSAL_STAGGER_S * len(before)
 
     # Copying
 
-    def _plan_copy(self, now: float) -> None:
-        """Work out what to copy from whom under the present view."""
+    def _plan_copies(self, now: float) -> None:
+        """Determine which slots to copy from which members in the current view."""
         self._sources = {}
-        self._copied = {self.me.disk}
-        self._copy_number = self.view.number
-        slots: dict[Member, list[int]] = {}
+        self._copied_disks = {self.me.disk}
+        self._copy_view_number = self.view.number
+        slots_by_member: dict[Member, list[int]] = {}
         for slot in range(SLOTS):
             old = must_copy(self.view, self.me, slot, self._losses)
             for member in old.members if old else ():
                 if member != self.me:
-                    slots.setdefault(member, []).append(slot)
-        for member, wanted in slots.items():
-            self._ask(_Source(member, tuple(wanted), "", 0, now, False), now)
+                    slots_by_member.setdefault(member, []).append(slot)
+        for member, slots in slots_by_member.items():
+            self._request_copy(
+                _CopySource(member, tuple(slots), "", 0, now, False), now
+            )
 
-    def _ask(self, source: _Source, now: float) -> None:
-        self._op += 1
-        copy = Copy(self._op, self.view.number, list(source.slots), source.after)
-        self._sources[source.member.disk] = source._replace(op=self._op, asked_at=now)
-        self._outbox.append((source.member.address, copy))
+    def _request_copy(self, source: _CopySource, now: float) -> None:
+        self._last_op += 1
+        request = CopyRequest(
+            self._last_op, self.view.number, list(source.slots), source.after
+        )
+        self._sources[source.member.disk] = source._replace(
+            op=self._last_op, requested_at=now
+        )
+        self._outbox.append((source.member.address, request))
 
     def _on_copy_reply(self, reply: CopyReply, now: float) -> None:
         source = self._sources.get(reply.disk)
@@ -447,51 +473,58 @@
         for entry in reply.entries:
             new = self.ledger.merge(entry, now)
             if new is not None:
-                self._entries.append(new)
-        if reply.last:
+                self._unsynced_entries.append(new)
+        if reply.is_last:
             self._sources[reply.disk] = source._replace(done=True)
-            self._copied.add(reply.disk)
+            self._copied_disks.add(reply.disk)
             return
-        self._ask(source._replace(after=reply.entries[-1].program), now)
+        self._request_copy(source._replace(after=reply.entries[-1].program), now)
 
-    def _copy_complete(self) -> bool:
+    def _copies_complete(self) -> bool:
         for slot in range(SLOTS):
             old = must_copy(self.view, self.me, slot, self._losses)
-            if old is not None and not old.readable(self._copied):
+            if old is not None and not old.readable(self._copied_disks):
                 return False
         return True
 
     # Time
 
     def tick(self, now: float) -> None:
-        """Send heartbeats, and ask again where an answer is missing."""
-        if now >= self._next_ping:
-            self._next_ping = now + PING_S
-            self._ping(now)
+        """Send heartbeats, and repeat copy requests that got no reply."""
+        if now >= self._next_heartbeat_at:
+            self._next_heartbeat_at = now + HEARTBEAT_INTERVAL_S
+            self._send_heartbeats(now)
         for source in list(self._sources.values()):
-            if not source.done and now - source.asked_at > COPY_AGAIN_S:
-                self._ask(source, now)
+            if not source.done and now - source.requested_at > COPY_RETRY_S:
+                self._request_copy(source, now)
 
-    def say_stopping(self, now: float) -> None:
-        """Tell the others that this process stops; it may come back or not."""
-        self._ping(now, stopping=True)
+    def announce_stop(self, now: float) -> None:
+        """Notify the other members that this process stops, for a while or for good."""
+        self._send_heartbeats(now, stopping=True)
 
-    def _ping(self, now: float, *, stopping: bool = False) -> None:
-        """Send a heartbeat to all, with the view where it is not known yet.
+    def _send_heartbeats(self, now: float, *, stopping: bool = False) -> None:
+        """Send a heartbeat to all members, with the view if they do not know it yet.
 
-        Each of 24 members sent the whole list to each other one, 2.5 times a second:
-        bytes that grow by the cube of their number.
+        With the view in every heartbeat, traffic would grow with the cube of the number
+        of members: each of 24 members would send the list of all to each other member,
+        2.5 times a second.
         """
-        known = self._known
-        short = Ping(self.me.disk, None, self.view_revision, stopping, known)
-        whole = msgspec.structs.replace(short, view=self.view)
+        view_version = self._view_version
+        without_view = Ping(
+            self.me.disk, None, self.view_revision, stopping, view_version
+        )
+        with_view = msgspec.structs.replace(without_view, view=self.view)
         addresses = {m.address for m in (*self.view.members, *self.view.old)}
-        # A newcomer is in no view yet, but must hear the members to propose itself.
-        addresses |= {a for a, at in self._pinged_by.items() if now - at <= HEARD_S}
+        # A new member is in no view yet, but needs heartbeats to propose its addition.
+        addresses |= {
+            a
+            for a, at in self._heartbeat_from.items()
+            if now - at <= REACHABLE_TIMEOUT_S
+        }
         for address in sorted(addresses - {self.me.address}):
-            theirs = self._known_by.get(address, NOTHING_KNOWN)
-            informed = theirs != NOTHING_KNOWN and theirs >= known
-            self._outbox.append((address, short if informed else whole))
+            reported = self._view_version_of.get(address, NO_VIEW_VERSION)
+            is_informed = reported != NO_VIEW_VERSION and reported >= view_version
+            self._outbox.append((address, without_view if is_informed else with_view))
 
 
 def _disks(view: View) -> set[str]:
--- a/wisteriastair/core/ledger.py
+++ b/wisteriastair/core/ledger.py
@@ -1,15 +1,15 @@
-"""The ledger: what is kept for a program, and how copies of it are merged.
-
-An account holds the program's attempts and, where the route keeps history, its turns.
-An attempt first reserves the most tokens that it can generate, and is settled with
-what was handed to the caller.  Both grow only: an attempt is never removed while the
-account lives, a settled one never changes, a turn never changes.  Copies that saw the
-same records in another order, or twice, are therefore equal, and merging two copies
-loses nothing.
-
-A reservation is made durable before the request is sent to a server.  What is not
-settled stays reserved: after the death of the process that ran the attempt nobody knows
-how much its caller was handed, and counting the most keeps the budget.
+"""The ledger: records of programs, and how copies of them are merged.
+
+An account holds the attempts of a program and, if the route retains history, its turns.
+An attempt first reserves the maximum number of tokens that it can generate, and is then
+settled with the number delivered to the caller.  Accounts only grow: an attempt is
+never removed while the account exists, a settled attempt never changes, and a turn
+never changes.  Copies that received the same records in another order, or twice, are
+therefore equal, and merging two copies loses nothing.
+
+A reservation is durable before the request is sent to a server.  An attempt that is
+not settled stays reserved: if the process that ran it fails, the number of tokens
+delivered to the caller is unknown, and counting the maximum keeps the budget.
 """
 
 from __future__ import annotations
@@ -18,27 +18,27 @@
 
 import msgspec
 
-# Added to the retention that the operators ask for, in seconds: clocks of processes
-# start to count at different moments, and a restart counts from its own start.
+# Added to the configured retention: the clocks of processes have different origins, and
+# a restarted process counts the retention from its own start.
 RETENTION_SLACK_S: Final = 5.0
 
 
 class Attempt(NamedTuple):
-    """Tokens of one attempt: the most it can take, or what it took once settled."""
+    """Tokens of one attempt: the maximum, or the actual number once settled."""
 
     tokens: int
     settled: bool
 
 
 class Turn(msgspec.Struct, frozen=True, array_like=True):
-    """One whole turn.
+    """One complete turn.
 
     Attributes
     ----------
     previous : str
-        The turn that it continues; empty at the start of a chain.
+        Id of the turn that it continues; empty at the start of a chain.
     said : bytes
-        Its input followed by the output, as the next turn is to repeat them.
+        Its input followed by its output, as the next turn must repeat them.
     """
 
     id: str
@@ -52,7 +52,7 @@
     Attributes
     ----------
     keep_s : float
-        Seconds for which the account is kept after its last record.
+        Seconds for which the account is retained after its last record.
     """
 
     program: str
@@ -62,23 +62,23 @@
 
 
 class Account:
-    """What is kept for one program."""
+    """All records of one program."""
 
     def __init__(self, program: str, now: float) -> None:
         self.program = program
         self.keep_s = 0.0
-        self.touched = now
+        self.last_used_at = now
         self.attempts: dict[str, Attempt] = {}
         self.turns: dict[str, Turn] = {}
 
     def merge(self, entry: Entry, now: float) -> Entry | None:
-        """Take records; return those that were new, or None.
+        """Merge records; return the new ones, or None.
 
-        A reservation that arrives after its settlement, late or sent again, is
-        dropped: it would take the tokens a second time.
+        A reservation that arrives after its settlement, delayed or repeated, is
+        dropped: it would reserve the tokens a second time.
         """
         self.keep_s = max(self.keep_s, entry.keep_s)
-        self.touched = now
+        self.last_used_at = now
         attempts: dict[str, Attempt] = {}
         for attempt_id, attempt in entry.attempts.items():
             known = self.attempts.get(attempt_id)
@@ -92,17 +92,18 @@
             return None
         return Entry(self.program, self.keep_s, attempts, turns)
 
-    def whole(self) -> Entry:
-        """All records of the account."""
+    def to_entry(self) -> Entry:
+        """Return all records of the account."""
         return Entry(
             self.program, self.keep_s, dict(self.attempts), list(self.turns.values())
         )
 
     def chain(self, turn_id: str) -> list[Turn]:
-        """Return a chain as far back as it is here, the oldest turn first.
+        """Return the stored part of a chain that ends with a turn, oldest turn first.
 
-        Turns of one chain may lie on different replicas, as each is written to just
-        enough of them.  What is missing is asked for by the oldest turn's `previous`.
+        The turns of a chain may be on different replicas, as each is written to only as
+        many as a quorum needs.  `previous` of the oldest turn identifies the missing
+        part.
         """
         found: list[Turn] = []
         while turn_id:
@@ -114,13 +115,13 @@
         found.reverse()
         return found
 
-    def expired(self, now: float) -> bool:
-        """Whether the account has not been used for its retention."""
-        return now - self.touched > self.keep_s + RETENTION_SLACK_S
+    def is_expired(self, now: float) -> bool:
+        """Whether the account has been unused for longer than its retention."""
+        return now - self.last_used_at > self.keep_s + RETENTION_SLACK_S
 
 
-class Found(NamedTuple):
-    """A chain as far back as it is here, and its program; empty without the turn."""
+class FoundChain(NamedTuple):
+    """The stored part of a chain, and its program; empty if the turn is unknown."""
 
     program: str
     chain: list[Turn]
@@ -131,51 +132,51 @@
 
     def __init__(self) -> None:
         self.accounts: dict[str, Account] = {}
-        self.held_bytes = 0
-        self._homes: dict[str, Account] = {}
+        self.turn_bytes = 0
+        self._account_of_turn: dict[str, Account] = {}
 
     def merge(self, entry: Entry, now: float) -> Entry | None:
-        """Take records of a program; return those that were new, or None."""
+        """Merge records of a program; return the new ones, or None."""
         account = self.accounts.get(entry.program)
         if account is None:
             account = self.accounts[entry.program] = Account(entry.program, now)
         new = account.merge(entry, now)
         if new is not None:
-            self.held_bytes += sum(len(turn.said) for turn in new.turns)
+            self.turn_bytes += sum(len(turn.said) for turn in new.turns)
             for turn in new.turns:
-                self._homes.setdefault(turn.id, account)
+                self._account_of_turn.setdefault(turn.id, account)
         return new
 
-    def find(self, turn_id: str) -> Found:
-        """Return a chain as far back as it is here, and the program it belongs to.
+    def find(self, turn_id: str) -> FoundChain:
+        """Return the stored part of a chain, and the program that it belongs to.
 
-        A new program may continue from a turn of an earlier one, so a turn is found by
-        its id alone.
+        A new program may continue from a turn of an earlier one, so a turn is looked up
+        by its id alone.
         """
-        account = self._homes.get(turn_id)
+        account = self._account_of_turn.get(turn_id)
         if account is None:
-            return Found("", [])
-        return Found(account.program, account.chain(turn_id))
+            return FoundChain("", [])
+        return FoundChain(account.program, account.chain(turn_id))
 
     def expire(self, now: float) -> list[str]:
-        """Drop accounts that are past their retention; return their programs."""
-        gone = [a for a in self.accounts.values() if a.expired(now)]
-        for account in gone:
+        """Remove accounts that are past their retention; return their programs."""
+        expired = [a for a in self.accounts.values() if a.is_expired(now)]
+        for account in expired:
             del self.accounts[account.program]
             for turn_id in account.turns:
-                if self._homes.get(turn_id) is account:
-                    del self._homes[turn_id]
-            self.held_bytes -= sum(len(t.said) for t in account.turns.values())
-        return [account.program for account in gone]
+                if self._account_of_turn.get(turn_id) is account:
+                    del self._account_of_turn[turn_id]
+            self.turn_bytes -= sum(len(t.said) for t in account.turns.values())
+        return [account.program for account in expired]
 
     def longest_retention_s(self) -> float:
-        """Seconds after which every record written so far was used again or expired."""
+        """Return the seconds after which each current record is renewed or expired."""
         keep_s = max((a.keep_s for a in self.accounts.values()), default=0.0)
         return keep_s + RETENTION_SLACK_S
 
 
 def merged_attempts(replies: list[dict[str, Attempt]]) -> dict[str, Attempt]:
-    """Merge the attempts that several replicas know of one program."""
+    """Merge the attempts of one program as reported by several replicas."""
     merged: dict[str, Attempt] = {}
     for attempts in replies:
         for attempt_id, attempt in attempts.items():
@@ -186,10 +187,10 @@
 
 
 def fits_budget(attempts: dict[str, Attempt], mine: str, budget: int) -> bool:
-    """Whether an attempt that is among the reserved ones keeps the budget.
+    """Whether the attempts of a program, with the given one, fit into the budget.
 
-    Two attempts that reserve at the same moment see each other and may both be
-    refused; that is the safe side, and each frees its reservation at once.
+    Two attempts that reserve at the same time see each other and may both be refused.
+    This cannot exceed the budget, and each releases its reservation at once.
     """
-    assert mine in attempts, "an attempt reserves before it asks"
+    assert mine in attempts, "an attempt must be reserved before the budget check"
     return sum(attempt.tokens for attempt in attempts.values()) <= budget
--- a/wisteriastair/core/ledgerwire.py
+++ b/wisteriastair/core/ledgerwire.py
@@ -1,7 +1,8 @@
 """Messages between relays and keepers of the ledger, and among keepers.
 
-Each request names the view under which it was sent.  Every message may be lost, doubled
-or late: requests are idempotent and are sent again until enough replicas have answered.
+Each request holds the number of the view under which it was sent.  Any message may be
+lost, duplicated or delayed: requests are idempotent and are repeated until enough
+replicas have replied.
 """
 
 from __future__ import annotations
@@ -17,75 +18,75 @@
 
 
 class Verdict(IntEnum):
-    """How a replica takes a request."""
+    """Result of a request at a replica."""
 
     DONE = 0
-    # The request names an older view than the replica knows; its view comes along.
+    # The request has an older view than the replica; the reply holds the newer view.
     STALE_VIEW = 1
     # The replica does not know the view yet, or cannot write.
     NOT_NOW = 2
 
 
 class Write(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Sync records of a program, then answer with what is known of it.
+    """Sync records of a program; the reply holds all its known attempts.
 
     Attributes
     ----------
-    chain : str
-        A turn whose chain is wanted as well; empty for none.
+    last_turn_id : str
+        Id of the turn whose chain is requested as well; empty for none.
     with_turns : bool
-        Whether the turns themselves are wanted, or only whether they are there.
+        Whether to return the turns of the chain, or only whether it is stored.
     """
 
     op: int
     view: int
     entry: Entry
-    chain: str = ""
+    last_turn_id: str = ""
     with_turns: bool = False
 
 
 class Find(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """Ask for a chain that no replica of the program's own slot knows.
+    """Request a chain that no replica of the program's own slot has.
 
-    Programs may continue from turns of earlier programs, which lie in other slots.
+    A program may continue from a turn of an earlier program, which has another slot.
     """
 
     op: int
     view: int
-    chain: str
+    last_turn_id: str
     with_turns: bool = False
 
 
 class Spread(msgspec.Struct, frozen=True, array_like=True, tag=9):
-    """Write to several replicas, of which one passes the write on to the others.
+    """Write that the receiver applies and forwards to other replicas.
 
-    A relay with a slow link sends a kept turn once instead of to each replica; keepers
-    have links many times as fast.  Every replica answers the relay itself.
+    A relay with a slow link sends a turn once instead of once per replica; the links of
+    keepers are many times as fast.  Every replica replies directly to the relay.
 
     Attributes
     ----------
-    others : list of str
-        Addresses of the replicas that the receiver is to pass the write on to.
-    origin : str
-        Member id of who is to be answered; empty where that is the sender.
+    forward_to : list of str
+        Addresses of the replicas that the receiver forwards the write to.
+    reply_to : str
+        Member id of the process to reply to; empty for the sender.
     """
 
     write: Write
-    others: list[str] = []
-    origin: str = ""
+    forward_to: list[str] = []
+    reply_to: str = ""
 
 
 class WriteReply(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Answer to `Write` and `Find`.
+    """Reply to `Write` and `Find`.
 
     Attributes
     ----------
     disk : str
-        The disk that holds the records.
+        Id of the disk of the replica.
     has_chain : bool
-        Whether the last turn of the chain is here.
+        Whether the replica stores the last turn of the chain.
     turns : list of Turn
-        The chain as far back as it is here, the oldest turn first, if asked for.
+        The stored part of the chain, oldest turn first, if requested.
     home : str
         Program that the chain belongs to.
     """
@@ -106,12 +107,12 @@
     Attributes
     ----------
     view : View or None
-        The sender's view; None if the receiver has shown that it knows it.
+        View of the sender; None if the receiver has reported that it has this view.
     revision : int
         Revision of the store at which it was written, for the next proposal.
     stopping : bool
-        The sender was told to stop; this is its last heartbeat.
-    known : tuple of int
+        Whether the sender is about to stop; this is its last heartbeat.
+    view_version : tuple of int
         Number of the sender's view, and how many of its members have copied.
     """
 
@@ -119,16 +120,16 @@
     view: View | None
     revision: int
     stopping: bool = False
-    known: tuple[int, int] = (0, 0)
+    view_version: tuple[int, int] = (0, 0)
 
 
-class Copy(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """Ask an old replica for the accounts of slots, a part at a time.
+class CopyRequest(msgspec.Struct, frozen=True, array_like=True, tag=4):
+    """Request the accounts of some slots from an old replica, in chunks.
 
     Attributes
     ----------
     after : str
-        The last program of the part before; empty for the first part.
+        The last program of the previous chunk; empty for the first chunk.
     """
 
     op: int
@@ -138,17 +139,17 @@
 
 
 class CopyReply(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """Answer to `Copy`; `last` is set on the last part."""
+    """Reply to `CopyRequest`; `is_last` is set on the last chunk."""
 
     op: int
     disk: str
     verdict: Verdict
     entries: list[Entry] = []
-    last: bool = False
+    is_last: bool = False
 
 
 class Document(msgspec.Struct, frozen=True, array_like=True):
-    """A key of the platform's store as of a revision."""
+    """Value of a key of the platform store at a revision."""
 
     key: str
     revision: int
@@ -156,17 +157,17 @@
 
 
 class AskDocuments(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """Ask a keeper for the newest documents of the store that it knows."""
+    """Request the newest known documents of the platform store from a keeper."""
 
 
 class KnownDocuments(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """Answer to `AskDocuments`.
+    """Reply to `AskDocuments`.
 
     Attributes
     ----------
     revision : int
-        The documents are all that there are as of this revision of the store; 0 if the
-        keeper has not heard from the store since its start.
+        Revision of the store at which the documents are complete; 0 if the keeper has
+        received nothing from the store since its start.
     """
 
     documents: list[Document]
@@ -174,7 +175,7 @@
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True):
-    """A change of a key in the platform's store; no value if it was removed."""
+    """Change of a key in the platform store; the value is None if it was removed."""
 
     key: str
     revision: int
@@ -182,28 +183,28 @@
 
 
 class Subscribe(msgspec.Struct, frozen=True, array_like=True, tag=10):
-    """Ask a keeper for the changes of the platform's store, for some seconds.
+    """Subscribe to changes of the platform store at a keeper, for some seconds.
 
     Attributes
     ----------
     values : bool
-        Whether the changes themselves are wanted, or only their revisions.
+        Whether to send the changes themselves, or only their revisions.
     """
 
     values: bool
 
 
 class StoreNews(msgspec.Struct, frozen=True, array_like=True, tag=11):
-    """What a keeper that watches the platform's store has just heard from it.
+    """Latest changes of the platform store, from a keeper that watches it.
 
     Attributes
     ----------
     base, revision : int
-        The changes are all that came after `base`, up to `revision`.
+        The changes are complete from after revision `base` up to `revision`.
     changes : list of Change or None
-        None if there are some and they are not enclosed.
+        None if there are changes that this message does not hold.
     in_touch : bool
-        False if the store does not answer; the rest is then as it was before.
+        False if the store does not answer; the other fields are then unchanged.
     """
 
     base: int
@@ -213,18 +214,18 @@
 
 
 class AskPermit(msgspec.Struct, frozen=True, array_like=True, tag=12):
-    """Ask a holder of a customer's quota for a permit for one request.
+    """Request a permit for one request from a holder of a customer's quota.
 
-    It may be lost or doubled; a doubled one takes a permit that nobody uses.
+    It may be lost or duplicated; a duplicate consumes a permit that is never used.
 
     Attributes
     ----------
     program : str
-        What the request belongs to; empty for a request by itself.
+        Program that the request belongs to; empty for a request without a program.
     kind : str
         Kind of the program if this may be its first request; else empty.
     ahead : bool
-        Whether a permit that counts a little later will do.
+        Whether a permit that becomes valid slightly later is accepted.
     """
 
     op: int
@@ -235,7 +236,7 @@
 
 
 class PermitReply(msgspec.Struct, frozen=True, array_like=True, tag=13):
-    """Answer to `AskPermit`."""
+    """Reply to `AskPermit`."""
 
     op: int
     permit: Permit
@@ -247,7 +248,7 @@
     | Find
     | WriteReply
     | Ping
-    | Copy
+    | CopyRequest
     | CopyReply
     | AskDocuments
     | KnownDocuments
@@ -272,6 +273,6 @@
     Raises
     ------
     msgspec.DecodeError
-        If it is not one.
+        If the data is not a valid message.
     """
     return _DECODER.decode(data)
--- a/wisteriastair/core/membership.py
+++ b/wisteriastair/core/membership.py
@@ -1,19 +1,21 @@
-"""Which instances keep the ledger, and how that changes without losing a record.
+"""Members of the ledger, their replica sets, and changes that lose no record.
 
 The ledger is a set of records that only grows: reservations, settlements and turns.
-Every program belongs to a slot, and every slot has a set of replicas, computed alike by
-everyone from the list of members.  With `t` losses to be borne, a slot has 2t + 1
-replicas; a write counts when t + 1 have synced it, and a reader that hears n - t of
-them sees every write that counted.  There is no leader, and nothing to take over.
-
-The list of members (a *view*) is one value in the platform's store, changed by
-compare-and-swap; any member may propose.  A change goes through a joint view with the
-old and the new list.  While it lasts, reads and writes need a quorum of both, and new
-replicas copy from a read quorum of the old.  Once all have said so the old list is
-dropped. Every request names the number of its view.  A replica that knows a higher
-number refuses it, so nobody can write to a list that has been copied from already.
-
-The list of members only says which disks count: reads and writes never ask the store.
+Every program belongs to a slot, and every slot has a set of replicas, which each
+process computes in the same way from the list of members.  To tolerate `t` failures, a
+slot has 2t + 1 replicas.  A write counts once t + 1 replicas have synced it, and a
+reader with replies from n - t replicas sees every write that counted.  There is no
+leader, so there is no takeover.
+
+The list of members (a *view*) is one value in the platform store, changed by
+compare-and-swap; any member may propose a change.  A change goes through a joint view
+with the old and the new list.  During the change, reads and writes need a quorum of
+both lists, and new replicas copy from a read quorum of the old list.  Once all of them
+have reported the end of their copy, the old list is dropped.  Every request holds the
+number of its view.  A replica that knows a higher number refuses the request, so no
+write can reach a list that has already been copied from.
+
+The view only defines which disks count: reads and writes never access the store.
 """
 
 from __future__ import annotations
@@ -32,8 +34,9 @@
     Attributes
     ----------
     disk : str
-        Drawn when an empty disk is first used.  An instance that lost its disk comes
-        back with another one, and so cannot vouch for what the lost one held.
+        Random id, generated at the first use of an empty disk.  An instance that lost
+        its disk returns with a new id, so it does not count as a replica of the records
+        on the lost disk.
     """
 
     name: str
@@ -43,18 +46,18 @@
 
 
 class View(NamedTuple):
-    """Who keeps the ledger.
+    """The members of the ledger.
 
     Attributes
     ----------
     number : int
-        Grows with each change.
+        Increases with each change.
     members : tuple of Member
-        The list in force, or the one that is to come into force.
+        The list in force, or the new list during a change.
     old : tuple of Member
-        The list before, while the change lasts; otherwise empty.
+        The previous list during a change; otherwise empty.
     synced : tuple of str
-        Disks of members that hold all they need for the change to end.
+        Disks of members that have copied all that the end of the change requires.
     """
 
     number: int = 0
@@ -64,18 +67,18 @@
 
 
 class ReplicaSet(NamedTuple):
-    """The replicas of one slot in one list, and the sizes of its quorums."""
+    """Replicas of one slot in one list of members, and the sizes of its quorums."""
 
     members: tuple[Member, ...]
     write: int
     read: int
 
     def written(self, disks: set[str]) -> bool:
-        """Whether enough replicas have synced a write."""
+        """Whether these disks include a write quorum."""
         return self._count(disks) >= self.write
 
     def readable(self, disks: set[str]) -> bool:
-        """Whether enough replicas have answered to see all earlier writes."""
+        """Whether these disks include a read quorum, which sees all earlier writes."""
         return self._count(disks) >= self.read
 
     def _count(self, disks: set[str]) -> int:
@@ -83,7 +86,7 @@
 
 
 def slot_of_program(program: str) -> int:
-    """Slot of a program."""
+    """Return the slot of a program."""
     return hash_word("ledger", program) % SLOTS
 
 
@@ -91,13 +94,13 @@
 def replica_set(members: tuple[Member, ...], slot: int, losses: int) -> ReplicaSet:
     """Compute the replicas of a slot.
 
-    One replica a failure domain comes first, in the order of rendezvous hashing, so
-    that the t + 1 copies of a write lie in different domains where there are as many.
+    The order is that of rendezvous hashing, with one replica per failure domain first,
+    so that the t + 1 copies of a write are in different domains if there are enough.
 
     Parameters
     ----------
     losses : int
-        Members that may be lost at once (t).
+        Number of members that may fail at the same time (t).
     """
     by_name = {member.name: member for member in members}
     order = [by_name[name] for name in rank(f"slot {slot}", by_name)]
@@ -107,7 +110,7 @@
 
 
 def over_domains(order: list[Member], count: int) -> tuple[Member, ...]:
-    """Choose the first of an order, one of each failure domain before a second one."""
+    """Select members in order, one per failure domain before a second of any domain."""
     chosen: list[Member] = []
     while len(chosen) < min(count, len(order)):
         domains: set[str] = set()
@@ -127,11 +130,12 @@
 
 
 def must_copy(view: View, me: Member, slot: int, losses: int) -> ReplicaSet | None:
-    """Return the old replicas that a member has to copy a slot from, if any.
+    """Return the old replicas that a member must copy a slot from, or None.
 
-    A member that was a replica before needs no copy while the set does not shrink: a
-    read quorum of the new set then holds a replica that copied, or meets every write
-    quorum of the old set by its size alone.  In a smaller set it may be read alone.
+    A member that was a replica before needs no copy unless the set shrinks: a read
+    quorum of the new set then contains a replica that has copied, or its size alone
+    makes it intersect every write quorum of the old set.  In a smaller set, the member
+    may form a read quorum alone.
     """
     if not view.old:
         return None
@@ -145,112 +149,116 @@
 
 
 class Wishes(NamedTuple):
-    """What one member knows when it considers a change.
+    """Input of one member to a decision on the next view.
 
     Attributes
     ----------
     me : Member
-        The member that considers.
-    heard : frozenset of str
-        Disks of members heard from a short while ago, its own included.
-    silent : frozenset of str
-        Disks of members not heard from for so long that they are taken as lost.
-    leaving : frozenset of str
-        Names of instances that are to be emptied.
+        The member that decides.
+    reachable : frozenset of str
+        Disks of members with a recent heartbeat, including its own.
+    unresponsive : frozenset of str
+        Disks of members that are treated as lost, for lack of heartbeats.
+    retiring : frozenset of str
+        Names of instances that the operators want to empty and remove.
     """
 
     me: Member
-    heard: frozenset[str]
-    silent: frozenset[str]
-    leaving: frozenset[str]
+    reachable: frozenset[str]
+    unresponsive: frozenset[str]
+    retiring: frozenset[str]
 
 
 def next_view(view: View, wishes: Wishes, losses: int) -> View | None:
-    """Propose the next view, or None if nothing is to change.
+    """Propose the next view, or None if no change is needed.
 
-    Only a member that hears most of the others proposes: one that is cut off would
-    otherwise drop the very members that go on serving.
+    Only a member that reaches most of the others proposes: an isolated member would
+    otherwise remove the members that are still serving.
     """
-    if _finished(view, losses):
+    if _is_change_complete(view, losses):
         return View(view.number + 1, view.members)
-    wanted = _wanted(view, wishes, losses)
-    if wanted == view.members or not _hears_most(view, wishes):
+    target = _target_members(view, wishes, losses)
+    if target == view.members or not _reaches_majority(view, wishes):
         return None
     if len(view.members) <= losses and not view.old:
-        # Too few members to have counted a write: there is nothing to copy.
-        return View(view.number + 1, wanted)
-    return View(view.number + 1, wanted, view.old or view.members)
+        # Too few members for a write to have counted: there is nothing to copy.
+        return View(view.number + 1, target)
+    return View(view.number + 1, target, view.old or view.members)
 
 
-def _finished(view: View, losses: int) -> bool:
+def _is_change_complete(view: View, losses: int) -> bool:
     if not view.old:
         return False
-    needed = [
+    copying_members = [
         member
         for member in view.members
         if any(must_copy(view, member, slot, losses) for slot in range(SLOTS))
     ]
-    return all(member.disk in view.synced for member in needed)
+    return all(member.disk in view.synced for member in copying_members)
 
 
-def _wanted(view: View, wishes: Wishes, losses: int) -> tuple[Member, ...]:
-    """Work out the list to have: whoever is there and is not to be emptied.
+def _target_members(view: View, wishes: Wishes, losses: int) -> tuple[Member, ...]:
+    """Return the target list: all live members that are not retiring.
 
-    The failure: a member that is gone for good stays in a list of 2t + 1 or fewer, and
-    the next lost disk leaves the list without a quorum for ever; every turn is refused.
-    So a silent member is left out whatever the size of the list.  Those that stay copy
-    before the change ends, and answer alone from then on, so that one of them is enough
-    to read all that ever counted.
+    An unresponsive member is removed whatever the size of the list.  If a permanently
+    lost member stayed in a list of 2t + 1 or fewer, the next lost disk would leave the
+    list without a quorum for ever, and every turn would be refused.  The remaining
+    members copy before the change ends and then reply alone, so that a single one of
+    them is enough to read every record that counted.
 
-    Writes need t + 1 members.  Where fewer are there and stay, those that are to be
-    emptied but still live fill up the list, one that has just lost its disk among them,
-    and then the silent ones.
+    A write needs t + 1 members.  If fewer remain, the list is filled up with live
+    members that are retiring, including one that has just lost its disk, and then with
+    unresponsive members.
     """
-    known = {m.name: m for m in (*view.old, *view.members, wishes.me)}
+    by_name = {m.name: m for m in (*view.old, *view.members, wishes.me)}
     listed = {m.name for m in (*view.members, wishes.me)}
-    there = [m for m in known.values() if m.disk not in wishes.silent]
-    wanted = [m for m in there if m.name in listed and m.name not in wishes.leaving]
-    leaving = [m for m in there if m.name in wishes.leaving]
-    names = {m.name for m in there}
-    silent = [m for m in view.members if m.name not in names]
-    # Those in the list come first, so that members agree on who fills it up.
-    fill = sorted(leaving, key=lambda m: (m.name not in listed, m)) + sorted(silent)
-    missing = losses + 1 - len(wanted)
-    return tuple(sorted((*wanted, *fill[: max(0, missing)])))
-
-
-def _hears_most(view: View, wishes: Wishes) -> bool:
+    live = [m for m in by_name.values() if m.disk not in wishes.unresponsive]
+    target = [m for m in live if m.name in listed and m.name not in wishes.retiring]
+    retiring = [m for m in live if m.name in wishes.retiring]
+    names = {m.name for m in live}
+    unresponsive = [m for m in view.members if m.name not in names]
+    # Listed members come first, so that all members agree on the ones that are added.
+    fill = sorted(retiring, key=lambda m: (m.name not in listed, m)) + sorted(
+        unresponsive
+    )
+    missing = losses + 1 - len(target)
+    return tuple(sorted((*target, *fill[: max(0, missing)])))
+
+
+def _reaches_majority(view: View, wishes: Wishes) -> bool:
     others = [m for m in view.members if m.name != wishes.me.name]
-    heard = sum(member.disk in wishes.heard for member in others)
-    return 2 * heard >= len(others)
+    reachable = sum(member.disk in wishes.reachable for member in others)
+    return 2 * reachable >= len(others)
 
 
 def preferred(
     replicas: ReplicaSet, domain: str, suspects: set[str], count: int
 ) -> list[Member]:
-    """Choose some of the replicas, as far as there are so many.
+    """Select up to `count` replicas.
 
-    Those in other failure domains than the ones chosen before come first, so that the
-    copies lie apart; among them the nearest. Suspects are only taken if there is
-    nobody else.
+    Replicas in failure domains that were not selected yet come first, so that the
+    copies are in different domains, and replicas in `domain` come first among these.
+    Suspects are selected only if there is no other replica left.
     """
     left = holder_order(replicas.members, domain)
     left.sort(key=lambda member: member.disk in suspects)
     chosen: list[Member] = []
     while left and len(chosen) < count:
-        taken = {member.domain for member in chosen}
-        apart = [m for m in left if m.domain not in taken and m.disk not in suspects]
-        member = (apart or left)[0]
+        domains = {member.domain for member in chosen}
+        in_new_domains = [
+            m for m in left if m.domain not in domains and m.disk not in suspects
+        ]
+        member = (in_new_domains or left)[0]
         chosen.append(member)
         left.remove(member)
     return chosen
 
 
 @lru_cache(maxsize=4096)
-def _ordered(members: tuple[Member, ...], domain: str) -> tuple[Member, ...]:
+def _sorted_local_first(members: tuple[Member, ...], domain: str) -> tuple[Member, ...]:
     return tuple(sorted(members, key=lambda m: (m.domain != domain, hash_word(m.name))))
 
 
 def holder_order(members: tuple[Member, ...], domain: str) -> list[Member]:
-    """Order members for a read: those in the reader's domain first."""
-    return list(_ordered(members, domain))
+    """Sort members for a read, those in the domain of the reader first."""
+    return list(_sorted_local_first(members, domain))
--- a/wisteriastair/keeper/daemon.py
+++ b/wisteriastair/keeper/daemon.py
@@ -1,6 +1,7 @@
-"""The keeper's shell: sockets, store and time around `KeeperCore` and `Storage`.
+"""Keeper process: sockets, platform store and timers around `KeeperCore`.
 
-Everything runs on one loop and one thread, but for what waits for the disk.
+Everything runs in one event loop on one thread, except the writing of the documents
+file.
 """
 
 from __future__ import annotations
@@ -56,24 +57,24 @@
 from .log import Log
 from .storage import Storage
 
-TICK_S: Final = 0.1
-# Time for the last heartbeat to leave before the connections close, in seconds:
-# several times the way to another failure domain.
-LAST_WORD_S: Final = 0.03
-# Share of the process's memory that kept turns may take.
-TURN_SHARE: Final = 0.4
-# Pause before another proposal after one that did not take effect, in seconds.
-PROPOSE_PAUSE_S: Final = 0.3
-# Expired accounts and old segments are looked for this often, in seconds.
-SPACE_S: Final = 5.0
-# Documents of the store are saved this long after a change, in seconds.
-SAVE_S: Final = 0.5
+TICK_INTERVAL_S: Final = 0.1
+# Delay between the last heartbeat and the close of the connections: several times the
+# latency to another failure domain.
+LAST_HEARTBEAT_DELAY_S: Final = 0.03
+# Fraction of the memory of the process that stored turns may use.
+TURN_MEMORY_FRACTION: Final = 0.4
+# Delay of the next proposal after one that did not take effect.
+PROPOSAL_RETRY_S: Final = 0.3
+# Interval of checks for expired accounts and old segments.
+RECLAIM_INTERVAL_S: Final = 5.0
+# Interval of checks for changed documents that must be saved.
+SAVE_INTERVAL_S: Final = 0.5
 
 log = logging.getLogger(__name__)
 
 
 class Keeper:
-    """Runs a `KeeperCore` with real time, sockets and a disk."""
+    """Runs a `KeeperCore` with a real clock, sockets and a disk."""
 
     def __init__(self, cfg: NodeOptions) -> None:
         self._cfg = cfg
@@ -89,21 +90,21 @@
             self._on_item,
             self._documents.keep_only,
             subscription=self._subscription,
-            on_news=self._tell,
+            on_news=self._publish,
             relied_on=lambda: self._subscribers.any(time.monotonic()),
         )
         self._stop = anyio.Event()
         self._metrics = KeeperMetrics()
-        self._retire_done: set[str] = set()
-        self._leaving: set[str] = set()
-        # Version of the configuration whose quotas are in force here.
-        self._config = -1
+        self._reported_done: set[str] = set()
+        self._retiring: set[str] = set()
+        # Version of the configuration whose quotas are in force.
+        self._config_version = -1
         self._core: KeeperCore
         self._storage: Storage
         self._transport: Transport[LedgerMessage]
 
     async def run(self) -> None:
-        """Run until told to stop."""
+        """Run until a signal stops the process."""
         now = time.monotonic()
         loaded = self._log.load(now)
         self._documents.load()
@@ -116,12 +117,12 @@
             view=loaded.view,
             entries=loaded.entries,
             now=now,
-            most_turn_bytes=TURN_SHARE * self._cfg.memory_bytes,
+            max_turn_bytes=TURN_MEMORY_FRACTION * self._cfg.memory_bytes,
             quota_bounds=self._cfg.quota,
         )
         for document in self._documents.all():
             if document.key == CONFIG_KEY:
-                self._take_config(document.value)
+                self._apply_config(document.value)
         self._storage = Storage(self._log, self._core, self._metrics)
         log.info(
             "keeper started",
@@ -143,39 +144,39 @@
             patience=LEDGER_PATIENCE,
         )
         async with anyio.create_task_group() as group:
-            self._start(group)
+            self._start_tasks(group)
             await serve_metrics(self._cfg.address, self._metrics.registry, group)
             await self._stop.wait()
-            await self._say_stopping()
+            await self._announce_stop()
             group.cancel_scope.cancel()
         self._log.close()
         log.info("keeper stopped", extra={"disk": me.disk})
 
-    def _start(self, group: TaskGroup) -> None:
+    def _start_tasks(self, group: TaskGroup) -> None:
         group.start_soon(self._mirror.run)
         group.start_soon(self._save_documents)
         group.start_soon(self._transport.run)
         group.start_soon(self._storage.run, self._send)
         group.start_soon(self._tick)
-        group.start_soon(self._look_after_view)
-        group.start_soon(self._give_back_space)
+        group.start_soon(self._maintain_view)
+        group.start_soon(self._reclaim_space)
         group.start_soon(self._watch_signals)
 
     async def _watch_signals(self) -> None:
         with anyio.open_signal_receiver(
             signal.SIGTERM, signal.SIGINT, signal.SIGHUP
         ) as signals:
-            async for number in signals:
-                if number == signal.SIGHUP:
-                    log.info("reload asked for; nothing of the file may change")
+            async for signal_number in signals:
+                if signal_number == signal.SIGHUP:
+                    log.info("reload ignored: settings cannot change while running")
                     continue
                 log.info("stopping")
                 self._stop.set()
 
-    async def _say_stopping(self) -> None:
-        self._core.say_stopping(time.monotonic())
+    async def _announce_stop(self) -> None:
+        self._core.announce_stop(time.monotonic())
         self._send()
-        await anyio.sleep(LAST_WORD_S)
+        await anyio.sleep(LAST_HEARTBEAT_DELAY_S)
 
     # Messages and batches
 
@@ -196,7 +197,7 @@
         self._send()
         self._storage.wake()
 
-    def _tell(self, news: StoreNews) -> None:
+    def _publish(self, news: StoreNews) -> None:
         for to, message in self._subscribers.tell(news, time.monotonic()):
             self._transport.send(to, message)
 
@@ -212,20 +213,20 @@
             self._core.tick(now)
             self._send()
             self._subscription.set_view(self._core.view, now)
-            for address, wish in self._subscription.due(now):
-                self._transport.send(address, wish)
-            await anyio.sleep(TICK_S)
+            for address, message in self._subscription.due(now):
+                self._transport.send(address, message)
+            await anyio.sleep(TICK_INTERVAL_S)
 
-    async def _give_back_space(self) -> None:
+    async def _reclaim_space(self) -> None:
         while True:
-            await anyio.sleep(SPACE_S)
-            self._measure()
-            while await self._storage.give_back_space(time.monotonic()):
+            await anyio.sleep(RECLAIM_INTERVAL_S)
+            self._update_gauges()
+            while await self._storage.reclaim_space(time.monotonic()):
                 pass
 
     async def _save_documents(self) -> None:
         while True:
-            await anyio.sleep(SAVE_S)
+            await anyio.sleep(SAVE_INTERVAL_S)
             if not self._documents.changed:
                 continue
             try:
@@ -234,13 +235,13 @@
             except OSError as exc:
                 log.warning("documents not saved", extra={"reason": repr(exc)})
 
-    def _measure(self) -> None:
+    def _update_gauges(self) -> None:
         core = self._core
         values = {
             "view_number": core.view.number,
             "view_changing": bool(core.view.old),
             "accounts": len(core.ledger.accounts),
-            "turn_bytes": core.ledger.held_bytes,
+            "turn_bytes": core.ledger.turn_bytes,
             "stale_refused": core.stale_refused,
             "store_calls": self._store.calls,
             "store_revision": self._mirror.revision,
@@ -250,26 +251,26 @@
         for name, value in values.items():
             self._metrics.gauges[name].set(value)
 
-    # The view and requests to empty an instance
+    # View changes and retirement of instances
 
     def _on_item(self, item: Item) -> None:
-        remembered = item.key == CONFIG_KEY or item.key.startswith(SERVERS)
+        is_cached = item.key == CONFIG_KEY or item.key.startswith(SERVERS)
         if item.value is None:
             self._documents.remove(item.key)
-        elif remembered or item.key == VIEW_KEY:
+        elif is_cached or item.key == VIEW_KEY:
             self._documents.put(Document(item.key, item.revision, item.value))
         if item.key == VIEW_KEY and item.value is not None:
-            self._take_view(item.revision, item.value)
+            self._adopt_view(item.revision, item.value)
         elif item.key == CONFIG_KEY and item.value is not None:
-            self._take_config(item.value)
+            self._apply_config(item.value)
         elif item.key.startswith(RETIRE):
             name = item.key.removeprefix(RETIRE)
-            (self._leaving.discard if item.value is None else self._leaving.add)(name)
-            self._core.leaving = frozenset(self._leaving)
-            log.info("instances to be emptied", extra={"names": sorted(self._leaving)})
+            (self._retiring.discard if item.value is None else self._retiring.add)(name)
+            self._core.retiring = frozenset(self._retiring)
+            log.info("instances to be emptied", extra={"names": sorted(self._retiring)})
 
-    def _take_config(self, value: bytes) -> None:
-        """Learn the customers' quotas; one that does not decode changes nothing."""
+    def _apply_config(self, value: bytes) -> None:
+        """Apply the customers' quotas; a value that does not decode changes nothing."""
         table = decode_config(value)
         if isinstance(table, BadDocument):
             log.error(
@@ -277,9 +278,9 @@
                 extra={"key": table.key, "reason": table.reason},
             )
             return
-        if table.version <= self._config:
+        if table.version <= self._config_version:
             return
-        self._config = table.version
+        self._config_version = table.version
         customers = table.customers.by_name if table.customers else {}
         self._core.quota.configure(customers, time.monotonic())
         log.info(
@@ -287,7 +288,7 @@
             extra={"config": table.version, "customers": len(customers)},
         )
 
-    def _take_view(self, revision: int, value: bytes) -> None:
+    def _adopt_view(self, revision: int, value: bytes) -> None:
         try:
             view = msgspec.json.decode(value, type=View)
         except msgspec.DecodeError as exc:
@@ -298,27 +299,27 @@
             return
         now = time.monotonic()
         if self._core.adopt(view, now, revision):
-            log.info("view adopted", extra=_describe(view))
+            log.info("view adopted", extra=_view_extra(view))
             self._core.tick(now)
             self._send()
             self._storage.wake()
 
-    async def _look_after_view(self) -> None:
+    async def _maintain_view(self) -> None:
         core = self._core
-        wanted: View | None = None
-        wanted_since = 0.0
+        proposed: View | None = None
+        proposed_since = 0.0
         while True:
-            await anyio.sleep(TICK_S)
-            await self._report_emptied()
+            await anyio.sleep(TICK_INTERVAL_S)
+            await self._report_retirements()
             now = time.monotonic()
             proposal = next_view(
                 core.view, core.wishes(now), self._cfg.tolerated_losses
             )
-            if proposal != wanted:
-                wanted, wanted_since = proposal, now
-            joins = core.me not in core.view.members
-            its_turn = joins or now - wanted_since >= core.turn_s(now)
-            if proposal is not None and its_turn:
+            if proposal != proposed:
+                proposed, proposed_since = proposal, now
+            is_joining = core.me not in core.view.members
+            is_due = is_joining or now - proposed_since >= core.proposal_delay_s(now)
+            if proposal is not None and is_due:
                 await self._propose(proposal)
             elif proposal is None and core.has_copied():
                 synced = (*core.view.synced, core.me.disk)
@@ -327,42 +328,42 @@
     async def _propose(self, view: View) -> None:
         """Write a view if the store still holds the one that it is based on.
 
-        A lost answer needs no care: the watch tells what the store holds, and what to
-        propose is worked out from that again.
+        A lost response needs no handling: the watch reports what the store holds, and
+        the next proposal is computed from that.
         """
         base = self._core.view_revision
         outcome = await self._store.swap(VIEW_KEY, base, msgspec.json.encode(view))
         if isinstance(outcome, Swapped):
-            log.info("view proposed", extra=_describe(view))
-            self._take_view(outcome.revision, msgspec.json.encode(view))
+            log.info("view proposed", extra=_view_extra(view))
+            self._adopt_view(outcome.revision, msgspec.json.encode(view))
             return
         reason = outcome.reason if isinstance(outcome, StoreTrouble) else "raced"
         log.info("view not written", extra={"reason": reason, "base": base})
-        await anyio.sleep(PROPOSE_PAUSE_S)
+        await anyio.sleep(PROPOSAL_RETRY_S)
 
-    async def _report_emptied(self) -> None:
-        """Tell the operators how far the emptying of an instance is.
+    async def _report_retirements(self) -> None:
+        """Report to the operators how far the retirement of an instance has come.
 
-        One of the members does so, the first by name that stays.
+        Only one member does so: the first by name that is not retiring.
         """
         view = self._core.view
-        staying = [m for m in view.members if m.name not in self._leaving]
+        staying = [m for m in view.members if m.name not in self._retiring]
         if not staying or staying[0] != self._core.me:
             return
-        for name in sorted(self._leaving - self._retire_done):
-            held = any(m.name == name for m in (*view.members, *view.old))
-            status = RETIRE_RUNNING if held else RETIRE_DONE
+        for name in sorted(self._retiring - self._reported_done):
+            is_listed = any(m.name == name for m in (*view.members, *view.old))
+            status = RETIRE_RUNNING if is_listed else RETIRE_DONE
             outcome = await self._store.put(RETIRE_STATUS + name, status)
             log.info(
-                "told that an instance is emptied" if not held else "emptying",
+                "instance reported as emptied" if not is_listed else "emptying",
                 extra={"name_of_instance": name, "outcome": str(outcome)},
             )
-            if not held and isinstance(outcome, Swapped):
-                self._retire_done.add(name)
-            await anyio.sleep(PROPOSE_PAUSE_S)
+            if not is_listed and isinstance(outcome, Swapped):
+                self._reported_done.add(name)
+            await anyio.sleep(PROPOSAL_RETRY_S)
 
 
-def _describe(view: View) -> dict[str, object]:
+def _view_extra(view: View) -> dict[str, object]:
     return {
         "view": view.number,
         "members": [m.name for m in view.members],
--- a/wisteriastair/keeper/documents.py
+++ b/wisteriastair/keeper/documents.py
@@ -1,13 +1,13 @@
-"""Documents of the platform's store that keepers remember for relays that start.
+"""Cache of documents of the platform store, for relays that start.
 
-While the store is away a relay that has just started knows no configuration and no
-servers, and could only turn callers away.  Keepers remember the newest documents that
-the store gave them, also over a loss of power, and hand them out.  They are hints of
-what was last in force: a relay replaces them by what the store says as soon as it says
-anything, and a document only ever yields to a newer revision.
+While the store is unavailable, a relay that has just started has no configuration and
+no servers, and could only reject requests.  Keepers cache the newest documents that
+they received from the store, also across a power loss, and provide them to relays.  The
+documents are hints of the last known state: a relay replaces them as soon as the store
+answers, and a document is only replaced by one with a newer revision.
 
-The file is written anew and renamed over the old one.  A torn or lost file costs the
-hints, nothing that was promised to anybody.
+The content is written to a new file, which replaces the old one by a rename.  A torn or
+lost file loses only the hints, no acknowledged data.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 from ..core.ledgerwire import Document
 
-FILE: Final = "documents"
+FILE_NAME: Final = "documents"
 CHECKSUM_BYTES: Final = 4
 
 _ENCODER: Final = msgspec.msgpack.Encoder()
@@ -31,22 +31,22 @@
 
 
 class Documents:
-    """The newest known documents by key.
+    """The newest known document of each key.
 
     Parameters
     ----------
     folder : str
-        Data folder; made if it does not exist.
+        Data folder; created if it does not exist.
     """
 
     def __init__(self, folder: str) -> None:
         self.changed = False
         self._folder = folder
-        self._known: dict[str, Document] = {}
+        self._documents: dict[str, Document] = {}
 
     def load(self) -> None:
-        """Read the file; a file that cannot be used is reported and left out."""
-        path = os.path.join(self._folder, FILE)
+        """Read the file; a damaged file is logged and ignored."""
+        path = os.path.join(self._folder, FILE_NAME)
         try:
             with open(path, "rb") as file:
                 data = file.read()
@@ -57,46 +57,46 @@
             log.warning("documents are damaged", extra={"path": path})
             return
         for document in _DECODER.decode(body):
-            self._known[document.key] = document
+            self._documents[document.key] = document
 
     def put(self, document: Document) -> None:
-        """Take a document if it is newer than the one known."""
-        known = self._known.get(document.key)
+        """Store a document if it is newer than the known one."""
+        known = self._documents.get(document.key)
         if known is None or known.revision < document.revision:
-            self._known[document.key] = document
+            self._documents[document.key] = document
             self.changed = True
 
     def remove(self, key: str) -> None:
-        """Forget a document that the store has removed."""
-        if self._known.pop(key, None) is not None:
+        """Remove a document that the store has removed."""
+        if self._documents.pop(key, None) is not None:
             self.changed = True
 
     def keep_only(self, present: set[str]) -> None:
-        """Forget what a full reading of the store does not list."""
-        for key in list(self._known):
+        """Remove documents that a complete listing of the store does not contain."""
+        for key in list(self._documents):
             if key not in present:
                 self.remove(key)
 
     def all(self) -> list[Document]:
         """Return all documents."""
-        return list(self._known.values())
+        return list(self._documents.values())
 
     def encode(self) -> bytes:
-        """Return the content for the file, and take it as saved."""
+        """Return the content of the file, and mark it as saved."""
         self.changed = False
         body = _ENCODER.encode(self.all())
         return zlib.crc32(body).to_bytes(CHECKSUM_BYTES, "little") + body
 
     def save(self, data: bytes) -> None:
-        """Write the file; blocks on the disk.
+        """Write the file; blocks until it is synced.
 
         Raises
         ------
         OSError
-            If the disk refuses.
+            If the file cannot be written.
         """
         os.makedirs(self._folder, exist_ok=True)
-        path = os.path.join(self._folder, FILE)
+        path = os.path.join(self._folder, FILE_NAME)
         with open(path + ".new", "wb") as file:
             file.write(data)
             file.flush()
--- a/wisteriastair/keeper/log.py
+++ b/wisteriastair/keeper/log.py
@@ -1,18 +1,17 @@
-"""The ledger's log on disk.
+"""Log of the ledger on disk.
 
 Records are appended to segment files.  A record is its length, a checksum and its
-bytes; it counts once the file has been synced.  After a power loss the unsynced end of
-the newest segment may be missing or torn: reading stops at the first record whose
-checksum does not fit, and the rest is cut off, since nobody was told of it.
-
-Space is bounded by moving on: when the oldest segment is past the longest retention,
-the accounts that still live and have records in it are written again, whole, to the
-newest segment, and the old file is removed.  No pause grows with the size of the
-ledger.
-
-A damaged record that is not at the end of the newest segment was acknowledged once.
-The folder is then given a new disk id, so that the instance copies everything from the
-other replicas before it vouches for anything.
+bytes; it is durable once the file has been synced.  After a power loss the unsynced end
+of the newest segment may be missing or torn: reading stops at the first record whose
+checksum does not match, and the rest is truncated, since none of it was acknowledged.
+
+Space is reclaimed by segments: when the oldest segment is past the longest retention,
+live accounts with records in it are written again, complete, to the newest segment, and
+the old file is removed.  No pause grows with the size of the ledger.
+
+A damaged record that is not at the end of the newest segment had been acknowledged.
+The folder then gets a new disk id, so that the instance copies everything from the
+other replicas before it counts as a replica.
 """
 
 from __future__ import annotations
@@ -30,7 +29,7 @@
 HEADER: Final = struct.Struct("<II")
 SEGMENT_BYTES: Final = 8 * 1024 * 1024
 MAX_RECORD_BYTES: Final = 64 * 1024 * 1024
-IDENTITY: Final = "identity"
+IDENTITY_FILE: Final = "identity"
 SEGMENT_PREFIX: Final = "ledger-"
 DISK_ID_BYTES: Final = 8
 
@@ -52,22 +51,22 @@
 class Segment:
     """One file of the log."""
 
-    def __init__(self, number: int, started: float) -> None:
+    def __init__(self, number: int, opened_at: float) -> None:
         self.number = number
-        self.started = started
+        self.opened_at = opened_at
         self.size = 0
         self.programs: set[str] = set()
 
 
-class Loaded(NamedTuple):
-    """What a folder held at the start.
+class LoadedLog(NamedTuple):
+    """Content of a folder at the start.
 
     Attributes
     ----------
     cut_bytes : int
-        Bytes of a torn end that were cut off.
+        Total bytes after the last valid record of each segment.
     damaged : bool
-        Whether a record was damaged that had been acknowledged.
+        Whether an acknowledged record was damaged.
     """
 
     entries: list[Entry]
@@ -82,16 +81,16 @@
     Parameters
     ----------
     folder : str
-        Data folder; made if it does not exist.
+        Data folder; created if it does not exist.
     """
 
     def __init__(self, folder: str) -> None:
         self.disk = ""
         self._folder = folder
         self._segments: list[Segment] = []
-        self._file = -1
+        self._fd = -1
 
-    def load(self, now: float) -> Loaded:
+    def load(self, now: float) -> LoadedLog:
         """Read the folder and open a new segment to append to.
 
         Raises
@@ -104,12 +103,12 @@
         view = View()
         cut_bytes = 0
         damaged = False
-        numbers = self._numbers()
+        numbers = self._segment_numbers()
         for number in numbers:
             segment = Segment(number, now)
-            records, cut = self._read(number)
+            records, cut = self._read_segment(number)
             if cut > 0 and number == numbers[-1]:
-                self._cut(number, cut)
+                self._truncate(number, cut)
             for record in records:
                 if isinstance(record, _EntryRecord):
                     entries.append(record.entry)
@@ -117,12 +116,12 @@
                 elif record.view.number >= view.number:
                     view = record.view
             cut_bytes += cut
-            # Only the newest segment can end in what was never synced.
+            # Only the newest segment can end in records that were never synced.
             damaged = damaged or (cut > 0 and number != numbers[-1])
             self._segments.append(segment)
-        self._identify(renew=damaged)
+        self._load_disk_id(renew=damaged)
         self._start_segment(now)
-        return Loaded(entries, view, cut_bytes, damaged)
+        return LoadedLog(entries, view, cut_bytes, damaged)
 
     def append(self, entries: list[Entry], view: View | None, now: float) -> None:
         """Write records and sync them; blocks until they are durable.
@@ -130,45 +129,45 @@
         Raises
         ------
         OSError
-            If the disk refuses; nothing of it may then be acknowledged.
+            If writing fails; none of the records may then be acknowledged.
         """
         records: list[Record] = [_EntryRecord(entry) for entry in entries]
         if view is not None:
             records.append(_ViewRecord(view))
-        data = b"".join(_frame(record) for record in records)
-        _write_all(self._file, data)
-        os.fdatasync(self._file)
+        data = b"".join(_encode_record(record) for record in records)
+        _write_all(self._fd, data)
+        os.fdatasync(self._fd)
         segment = self._segments[-1]
         segment.programs.update(entry.program for entry in entries)
         segment.size += len(data)
         if segment.size >= SEGMENT_BYTES:
             self._start_segment(now)
 
-    def closed(self) -> list[Segment]:
-        """Return the segments that are not written to any more, the oldest first."""
+    def closed_segments(self) -> list[Segment]:
+        """Return the segments that are no longer appended to, oldest first."""
         return self._segments[:-1]
 
-    def oldest(self) -> Segment | None:
+    def oldest_segment(self) -> Segment | None:
         """Return the oldest closed segment."""
-        closed = self.closed()
-        return closed[0] if closed else None
+        closed_segments = self.closed_segments()
+        return closed_segments[0] if closed_segments else None
 
     def remove_oldest(self) -> None:
-        """Remove the oldest segment; its living records were written again before.
+        """Remove the oldest segment, whose live records must have been written again.
 
-        The removal need not be durable: a file that comes back after a power loss holds
-        only records that merge without effect.
+        The removal need not be durable: a file that reappears after a power loss holds
+        only records whose merge has no effect.
         """
         segment = self._segments.pop(0)
         os.unlink(self._path(segment.number))
 
     def close(self) -> None:
         """Close the open file."""
-        if self._file >= 0:
-            os.close(self._file)
-            self._file = -1
+        if self._fd >= 0:
+            os.close(self._fd)
+            self._fd = -1
 
-    def _numbers(self) -> list[int]:
+    def _segment_numbers(self) -> list[int]:
         names = os.listdir(self._folder)
         return sorted(
             int(name.removeprefix(SEGMENT_PREFIX))
@@ -179,47 +178,47 @@
     def _path(self, number: int) -> str:
         return os.path.join(self._folder, f"{SEGMENT_PREFIX}{number:08d}")
 
-    def _read(self, number: int) -> tuple[list[Record], int]:
+    def _read_segment(self, number: int) -> tuple[list[Record], int]:
         with open(self._path(number), "rb") as file:
             data = file.read()
         records: list[Record] = []
         position = 0
         while position < len(data):
-            record, end = _parse(data, position)
+            record, end = _decode_record(data, position)
             if record is None:
                 break
             records.append(record)
             position = end
         return records, len(data) - position
 
-    def _cut(self, number: int, cut: int) -> None:
-        """Cut a torn end off for good, or the next start would take it for damage."""
-        file = os.open(self._path(number), os.O_WRONLY)
-        os.ftruncate(file, os.fstat(file).st_size - cut)
-        os.fsync(file)
-        os.close(file)
+    def _truncate(self, number: int, cut: int) -> None:
+        """Truncate a torn end, which the next start would otherwise count as damage."""
+        fd = os.open(self._path(number), os.O_WRONLY)
+        os.ftruncate(fd, os.fstat(fd).st_size - cut)
+        os.fsync(fd)
+        os.close(fd)
 
     def _start_segment(self, now: float) -> None:
         """Open a new segment.
 
-        Appending to a file with a cut end would put good records behind bad ones, so a
-        start never goes on with an old file.
+        Records appended to a file with a torn end would follow an invalid one and would
+        not be read, so a start never appends to an existing file.
         """
-        if self._file >= 0:
-            os.close(self._file)
+        if self._fd >= 0:
+            os.close(self._fd)
         number = self._segments[-1].number + 1 if self._segments else 1
         path = self._path(number)
-        self._file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o644)
-        os.fsync(self._file)
+        self._fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o644)
+        os.fsync(self._fd)
         self._segments.append(Segment(number, now))
 
-    def _identify(self, *, renew: bool) -> None:
-        """Read the disk's id, or draw one.
+    def _load_disk_id(self, *, renew: bool) -> None:
+        """Read the id of the disk, or generate one.
 
-        The id is written before the first record, and synced: a folder with records
-        but without an id would otherwise pass for an empty disk.
+        The id is written and synced before the first record: a folder with records but
+        no id would otherwise count as an empty disk.
         """
-        path = os.path.join(self._folder, IDENTITY)
+        path = os.path.join(self._folder, IDENTITY_FILE)
         if not renew:
             try:
                 with open(path, encoding="ascii") as file:
@@ -233,17 +232,17 @@
             file.write(self.disk)
             file.flush()
             os.fsync(file.fileno())
-        folder = os.open(self._folder, os.O_RDONLY)
-        os.fsync(folder)
-        os.close(folder)
+        folder_fd = os.open(self._folder, os.O_RDONLY)
+        os.fsync(folder_fd)
+        os.close(folder_fd)
 
 
-def _frame(record: Record) -> bytes:
+def _encode_record(record: Record) -> bytes:
     body = _ENCODER.encode(record)
     return HEADER.pack(len(body), zlib.crc32(body)) + body
 
 
-def _parse(data: bytes, position: int) -> tuple[Record | None, int]:
+def _decode_record(data: bytes, position: int) -> tuple[Record | None, int]:
     start = position + HEADER.size
     if start > len(data):
         return None, position
@@ -260,7 +259,7 @@
         return None, position
 
 
-def _write_all(file: int, data: bytes) -> None:
+def _write_all(fd: int, data: bytes) -> None:
     view = memoryview(data)
     while view:
-        view = view[os.write(file, view) :]
+        view = view[os.write(fd, view) :]
--- a/wisteriastair/keeper/storage.py
+++ b/wisteriastair/keeper/storage.py
@@ -1,11 +1,11 @@
-"""The ledger's way to the disk: batches are synced one after another, space is bounded.
-
-A sync blocks the loop.  Nearly all that a keeper does waits for a sync anyway, and what
-arrives meanwhile gathers in the sockets for the next batch, so one sync carries many
-records when many come.  With syncs on a worker thread a request took 0.40 ms of
-processor time instead of 0.27 ms, and was answered after 2.7 ms instead of 2.0 ms
-(medians, ``python -m tests.keeper.bench``).  A disk that hangs silences its keeper,
-which is then dropped like any other that is lost.
+"""Writing of batches to disk, one after another, and reclaiming of disk space.
+
+A sync blocks the event loop.  Nearly all work of a keeper waits for a sync anyway, and
+requests that arrive meanwhile queue in the sockets for the next batch, so one sync
+covers many records under load.  With syncs on a worker thread a request took 0.40 ms of
+processor time instead of 0.27 ms, and its reply 2.7 ms instead of 2.0 ms (medians,
+``python -m tests.keeper.bench``).  If the disk hangs, the keeper stops sending
+heartbeats and is removed from the view like any lost member.
 """
 
 from __future__ import annotations
@@ -21,79 +21,79 @@
 from ..nodemetrics import KeeperMetrics
 from .log import Log
 
-# Pause after the disk has refused a batch, in seconds.
-REFUSED_PAUSE_S: Final = 0.3
+# Delay before the next batch after a failed write.
+WRITE_RETRY_S: Final = 0.3
 
 log = logging.getLogger(__name__)
 
 
 class Storage:
-    """Writes what a `KeeperCore` wants to have synced.
+    """Writes the batches of a `KeeperCore` to disk.
 
     Parameters
     ----------
-    disk : Log
-        The log, loaded.
+    ledger_log : Log
+        The loaded log.
     core : KeeperCore
-        Decides what is written, and what is answered afterwards.
+        Source of the batches, notified once they are synced.
     metrics : KeeperMetrics
-        Counts records and times syncs.
+        Receives the number of records and the duration of syncs.
     clock : callable
-        Seconds that never go back.
+        Monotonic clock, in seconds.
     """
 
     def __init__(
         self,
-        disk: Log,
+        ledger_log: Log,
         core: KeeperCore,
         metrics: KeeperMetrics,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        self._disk = disk
+        self._log = ledger_log
         self._core = core
         self._metrics = metrics
         self._clock = clock
-        self._wake = anyio.Event()
-        self._synced = anyio.Event()
+        self._batch_available = anyio.Event()
+        self._batch_synced = anyio.Event()
 
     def wake(self) -> None:
-        """Say that there may be something to write."""
-        self._wake.set()
+        """Notify the writer that a batch may be available."""
+        self._batch_available.set()
 
     async def run(self, send: Callable[[], None]) -> None:
-        """Write batches until cancelled; ``send`` sends what was answered."""
+        """Write batches until cancelled; ``send`` sends the replies of a batch."""
         while True:
             batch = self._core.take_batch()
             if batch is None:
-                self._wake = anyio.Event()
-                await self._wake.wait()
+                self._batch_available = anyio.Event()
+                await self._batch_available.wait()
                 continue
             await self._sync(batch)
-            self._synced.set()
-            self._synced = anyio.Event()
+            self._batch_synced.set()
+            self._batch_synced = anyio.Event()
             send()
 
     async def _sync(self, batch: Batch) -> None:
         if not batch.entries and batch.view is None:
             self._core.synced(batch)
             return
-        began = self._clock()
+        started_at = self._clock()
         try:
-            self._disk.append(batch.entries, batch.view, began)
+            self._log.append(batch.entries, batch.view, started_at)
         except OSError as exc:
             log.error("disk refused a batch", extra={"reason": repr(exc)})
-            self._core.not_synced(batch)
-            await anyio.sleep(REFUSED_PAUSE_S)
+            self._core.on_sync_failed(batch)
+            await anyio.sleep(WRITE_RETRY_S)
             return
-        self._metrics.sync.observe(self._clock() - began)
+        self._metrics.sync.observe(self._clock() - started_at)
         self._metrics.records.inc(len(batch.entries))
         self._core.synced(batch)
 
-    async def give_back_space(self, now: float) -> bool:
-        """Drop expired accounts, and the oldest segment if it is past its time.
+    async def reclaim_space(self, now: float) -> bool:
+        """Remove expired accounts, and the oldest segment if it is past its retention.
 
-        Accounts that still live and have records in it are written again, whole, and
-        synced before the file goes.
+        Live accounts with records in it are written again, complete, and synced before
+        the file is removed.
 
         Returns
         -------
@@ -102,18 +102,21 @@
         """
         ledger = self._core.ledger
         ledger.expire(now)
-        oldest = self._disk.oldest()
-        if oldest is None or now - oldest.started <= ledger.longest_retention_s():
+        oldest_segment = self._log.oldest_segment()
+        if (
+            oldest_segment is None
+            or now - oldest_segment.opened_at <= ledger.longest_retention_s()
+        ):
             return False
-        closed = self._disk.closed()
-        batch = self._core.rewrite(oldest.programs)
+        closed_segments = self._log.closed_segments()
+        batch = self._core.rewrite_accounts(oldest_segment.programs)
         self.wake()
         while self._core.batches_synced < batch:
-            await self._synced.wait()
-        # They lie whole in a newer segment now: the other old ones need not move them
-        # again.
-        for segment in closed:
-            if segment is not oldest:
-                segment.programs -= oldest.programs
-        self._disk.remove_oldest()
+            await self._batch_synced.wait()
+        # A newer segment now holds these accounts complete, so that the removal of the
+        # other closed segments need not write them again.
+        for segment in closed_segments:
+            if segment is not oldest_segment:
+                segment.programs -= oldest_segment.programs
+        self._log.remove_oldest()
         return True
