--- a/tests/core/test_keeper.py
+++ b/tests/core/test_keeper.py
@@ -1,4 +1,4 @@
-"""The keeper's decisions: joining, copying, dropping, and who proposes."""
+"""Tests of `KeeperCore`: joining, copying, removal of members, and proposals."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from wisteriastair.core.membership import Member, View, next_view
 
 LOSSES = 1
-NEVER = 10_000
+WRITE_OP = 10_000
 
 
 class Deployment:
-    """Keepers, the view in the store, and a clock."""
+    """Keepers, the view in the platform store, and a clock."""
 
     def __init__(self, count: int) -> None:
         self.now = 0.0
@@ -29,7 +29,7 @@
         self.cores[me.address] = core
         return core
 
-    def pass_time(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         for _ in range(int(seconds / 0.1)):
             self.now += 0.1
             for address, core in self.cores.items():
@@ -59,195 +59,198 @@
     def write(self, program: str) -> int:
         """Write a record to every keeper; return how many have synced it."""
         entry = Entry(program, 60.0, {"a": Attempt(1, False)})
-        done = 0
+        synced_count = 0
         for address, core in self.cores.items():
             if address in self.down:
                 continue
-            core.receive("relay:1#a", Write(NEVER, self.view.number, entry), self.now)
+            core.receive(
+                "relay:1#a", Write(WRITE_OP, self.view.number, entry), self.now
+            )
             batch = core.take_batch()
             if batch is not None:
                 core.synced(batch)
             for _, reply in core.take_outbox():
-                if isinstance(reply, WriteReply) and reply.op == NEVER:
-                    done += reply.verdict is Verdict.DONE
-        return done
+                if isinstance(reply, WriteReply) and reply.op == WRITE_OP:
+                    synced_count += reply.verdict is Verdict.DONE
+        return synced_count
 
     def names(self) -> list[str]:
         return [member.name for member in self.view.members]
 
 
-def with_programs(count: int) -> Deployment:
+def deployment_with_programs(count: int) -> Deployment:
     """Start three keepers and write a record of some programs to each."""
     deployment = Deployment(3)
-    deployment.pass_time(5)
+    deployment.advance(5)
     for number in range(count):
         deployment.write(f"p{number}")
     return deployment
 
 
-def test_the_first_start_ends_with_all_members_and_no_change_under_way() -> None:
+def test_first_start_ends_with_all_members_and_no_pending_change() -> None:
     deployment = Deployment(3)
-    deployment.pass_time(5)
+    deployment.advance(5)
     assert deployment.names() == ["k0", "k1", "k2"]
     assert deployment.view.old == ()
 
 
-def test_a_lost_disk_is_filled_again_before_it_counts() -> None:
-    """A keeper comes back at its address with an empty disk.
+def test_replacement_of_a_lost_disk_holds_all_records_after_the_change() -> None:
+    """A keeper returns at its address with an empty disk.
 
-    Programs were written before.  When the change has ended the newcomer must hold
-    them: the next loss may take one of the two disks that still do.
+    Once the change has ended, it must hold all programs written before: the next loss
+    may be one of the two other disks that hold them.
     """
     deployment = Deployment(3)
-    deployment.pass_time(5)
+    deployment.advance(5)
     for number in range(20):
         assert deployment.write(f"p{number}") == 3
-    fresh = deployment.start("k1", "second")
+    replacement = deployment.start("k1", "second")
     assert deployment.write("before it joined") == 2
-    deployment.pass_time(3)
-    assert fresh.me in deployment.view.members
+    deployment.advance(3)
+    assert replacement.me in deployment.view.members
     assert deployment.view.old == ()
-    assert len(fresh.ledger.accounts) == 21
+    assert len(replacement.ledger.accounts) == 21
 
 
-def test_a_successor_takes_the_place_of_a_lost_member() -> None:
-    """A machine is gone for good and an empty one comes at another address.
+def test_successor_replaces_a_lost_member() -> None:
+    """A machine is permanently lost and an empty one starts at another address.
 
-    Within five seconds of its start the successor is a full replica and the lost member
-    is dropped; otherwise a second loss would leave slots without a read quorum.
+    Within five seconds of its start, the successor must be a complete replica and the
+    lost member must be removed: otherwise a second loss would leave slots without a
+    read quorum.
     """
-    deployment = with_programs(20)
+    deployment = deployment_with_programs(20)
     deployment.down.add("k0:1")
-    deployment.pass_time(1)
+    deployment.advance(1)
     successor = deployment.start("k9", "disk")
-    deployment.pass_time(4.8)
+    deployment.advance(4.8)
     assert deployment.names() == ["k1", "k2", "k9"]
     assert deployment.view.old == ()
     assert len(successor.ledger.accounts) == 20
 
 
-def test_a_member_that_is_cut_off_does_not_drop_the_others() -> None:
-    """One keeper hears nobody but still reaches the store.
+def test_isolated_member_does_not_remove_the_others() -> None:
+    """One keeper receives no heartbeats but still reaches the store.
 
-    If it proposed to drop those that it does not hear, it would take the ledger with
-    it.
+    If it proposed to remove the members that it cannot reach, the ledger would lose
+    all other replicas.
     """
     deployment = Deployment(4)
-    deployment.pass_time(6)
-    alone = deployment.cores["k3:1"]
+    deployment.advance(6)
+    isolated = deployment.cores["k3:1"]
     deployment.down = {"k0:1", "k1:1", "k2:1"}
-    deployment.pass_time(10)
+    deployment.advance(10)
     assert len(deployment.view.members) == 4
-    assert alone.wishes(deployment.now).unresponsive
+    assert isolated.wishes(deployment.now).unresponsive
 
 
-def test_an_emptied_instance_leaves_and_nothing_is_missing() -> None:
-    deployment = with_programs(20)
+def test_retired_instance_leaves_without_loss_of_records() -> None:
+    deployment = deployment_with_programs(20)
     for core in deployment.cores.values():
         core.retiring = frozenset({"k2"})
-    deployment.pass_time(4)
+    deployment.advance(4)
     assert deployment.names() == ["k0", "k1"]
     assert deployment.view.old == ()
     for name in ("k0:1", "k1:1"):
         assert len(deployment.cores[name].ledger.accounts) == 20
 
 
-def test_a_lost_disk_beside_a_member_that_is_gone_for_good_ends_no_service() -> None:
-    """A caller's turns are refused for ever after a third machine is lost in turn.
+def test_lost_disk_after_a_permanent_loss_does_not_end_service() -> None:
+    """After the loss of a third machine, all turns are refused permanently.
 
-    One keeper is emptied and leaves; another is gone for good and an empty one comes at
-    another address; long after that has caught up, the oldest disk is lost.  If the
-    member that is gone stays in the list, the list is then three of whom two are lost,
-    and the newcomer holds everything but is no quorum.
+    One keeper is emptied and leaves.  Another one is permanently lost, and an empty one
+    starts at another address.  Long after it has caught up, the oldest disk is lost.
+    If the lost member had stayed in the list, two of three members would now be lost,
+    and the new one holds everything but is not a quorum.
     """
-    deployment = with_programs(20)
+    deployment = deployment_with_programs(20)
     for core in deployment.cores.values():
         core.retiring = frozenset({"k2"})
-    deployment.pass_time(4)
+    deployment.advance(4)
     deployment.down |= {"k2:1", "k1:1"}
-    deployment.pass_time(1)
+    deployment.advance(1)
     successor = deployment.start("k9", "disk")
-    deployment.pass_time(4)
+    deployment.advance(4)
     assert deployment.names() == ["k0", "k9"]
     assert deployment.view.old == ()
     assert len(successor.ledger.accounts) == 20
     deployment.start("k0", "second")
-    deployment.pass_time(4)
+    deployment.advance(4)
     assert deployment.write("after the loss") == 2
     assert len(deployment.cores["k0:1"].ledger.accounts) == 21
 
 
-def test_one_that_is_gone_as_planned_leaves_the_list_with_its_successor_there() -> None:
+def test_stopped_member_is_removed_once_its_successor_runs() -> None:
     """A machine is replaced as planned: the new one starts, then the old one stops.
 
-    Nothing comes after the old one's last heartbeat that could be its successor.  It
-    says that it stops, so it need not be waited for as long as one that may be back.
+    No new disk appears after the last heartbeat of the old member.  It announces its
+    stop, so the shorter timeout applies to it.
     """
     deployment = Deployment(2)
-    deployment.pass_time(5)
+    deployment.advance(5)
     deployment.start("k9", "disk")
-    deployment.pass_time(1)
+    deployment.advance(1)
     old = deployment.cores["k1:1"]
     old.announce_stop(deployment.now)
     deployment.deliver(old)
     deployment.down.add("k1:1")
-    deployment.pass_time(3)
+    deployment.advance(3)
     assert deployment.names() == ["k0", "k9"]
     assert deployment.view.old == ()
 
 
-def test_a_member_to_be_emptied_stays_while_too_few_others_are_there() -> None:
-    """The operators empty one keeper of three while another falls silent.
+def test_retiring_member_stays_while_too_few_others_are_live() -> None:
+    """The operators empty one of three keepers while another one is lost.
 
-    Without the one that is to be emptied no write could count.  It stays until a
-    newcomer holds everything, and then leaves.
+    Without the retiring keeper no write could count.  It stays until a new keeper holds
+    everything, and then leaves.
     """
     deployment = Deployment(3)
-    deployment.pass_time(5)
+    deployment.advance(5)
     deployment.write("p")
     deployment.down.add("k2:1")
     for core in deployment.cores.values():
         core.retiring = frozenset({"k1"})
-    deployment.pass_time(6)
+    deployment.advance(6)
     assert deployment.names() == ["k0", "k1"]
     assert deployment.view.old == ()
     assert deployment.write("q") == 2
     newcomer = deployment.start("k9", "disk")
     newcomer.retiring = frozenset({"k1"})
-    deployment.pass_time(4)
+    deployment.advance(4)
     assert deployment.names() == ["k0", "k9"]
     assert len(newcomer.ledger.accounts) == 2
 
 
-def test_one_to_be_emptied_that_loses_its_disk_serves_until_another_is_there() -> None:
-    """Two keepers are left, one is to be emptied, and that one loses its disk.
+def test_retiring_member_that_loses_its_disk_joins_again() -> None:
+    """One of two remaining keepers is retiring and loses its disk.
 
-    The list names a disk that is gone.  If the instance did not join again because it
-    is to be emptied, one disk would hold everything and no write could count.
+    The list contains the lost disk.  If the instance did not join again because it is
+    retiring, only one disk would hold the records and no write could count.
     """
     deployment = Deployment(2)
-    deployment.pass_time(5)
+    deployment.advance(5)
     deployment.write("p")
-    fresh = deployment.start("k1", "second")
+    replacement = deployment.start("k1", "second")
     for core in deployment.cores.values():
         core.retiring = frozenset({"k1"})
-    deployment.pass_time(4)
-    assert fresh.me in deployment.view.members
+    deployment.advance(4)
+    assert replacement.me in deployment.view.members
     assert deployment.view.old == ()
     assert deployment.write("q") == 2
-    assert len(fresh.ledger.accounts) == 2
+    assert len(replacement.ledger.accounts) == 2
 
 
-def test_a_member_that_was_away_joins_again() -> None:
-    """A keeper is cut off for longer than the others wait, then comes back."""
+def test_disconnected_member_joins_again() -> None:
+    """A keeper is isolated for longer than the timeout, then returns."""
     deployment = Deployment(3)
-    deployment.pass_time(5)
+    deployment.advance(5)
     deployment.down.add("k1:1")
-    deployment.pass_time(6)
+    deployment.advance(6)
     assert deployment.names() == ["k0", "k2"]
     deployment.write("while it was away")
     deployment.down.clear()
-    deployment.pass_time(3)
+    deployment.advance(3)
     assert deployment.names() == ["k0", "k1", "k2"]
     assert deployment.view.old == ()
     assert "while it was away" in deployment.cores["k1:1"].ledger.accounts
@@ -255,7 +258,7 @@
 
 def test_requests_under_an_older_view_are_refused_with_the_newer_one() -> None:
     deployment = Deployment(3)
-    deployment.pass_time(5)
+    deployment.advance(5)
     core = deployment.cores["k0:1"]
     entry = Entry("p", 60.0, {"a": Attempt(1, False)})
     core.receive("relay:1#a", Write(1, deployment.view.number - 1, entry), 9.0)
@@ -267,24 +270,26 @@
     assert "p" not in core.ledger.accounts
 
 
-def test_members_propose_in_turn() -> None:
-    """All members see the same need at one moment; one call to the store is enough."""
+def test_members_stagger_their_proposals() -> None:
+    """All members detect a need at the same time; one store call must be enough."""
     deployment = Deployment(3)
-    deployment.pass_time(5)
-    waits = [
+    deployment.advance(5)
+    delays_s = [
         core.proposal_delay_s(deployment.now) for core in deployment.cores.values()
     ]
-    assert sorted(waits) == waits and len(set(waits)) == 3 and waits[0] == 0.0
+    assert (
+        sorted(delays_s) == delays_s and len(set(delays_s)) == 3 and delays_s[0] == 0.0
+    )
 
 
 def test_a_step_of_a_change_reaches_the_others_without_the_store() -> None:
     """The store is slow: its watches answer half a second late.
 
-    The member whose write took effect tells the others at once, with the revision that
-    their own next proposal must be based on.
+    The member whose write took effect sends the view to the others at once, with the
+    revision that their next proposal must be based on.
     """
     deployment = Deployment(3)
-    deployment.pass_time(5)
+    deployment.advance(5)
     first, second, _ = deployment.cores.values()
     changed = View(first.view.number + 1, first.view.members, first.view.members)
     first.take_outbox()
@@ -295,11 +300,11 @@
     assert second.view_revision == 99
 
 
-def test_a_keeper_that_is_full_of_turns_refuses_one_more_and_goes_on() -> None:
+def test_keeper_at_its_turn_limit_refuses_turns_and_continues() -> None:
     """Chains grow faster than they expire.
 
-    Killed for its memory the process would take all its replicas away; refused, only
-    the turn that did not fit is lost, visibly, to its caller.
+    If the process were killed for its memory use, all its replicas would be lost.  A
+    refusal affects only the turn that does not fit, and its caller is notified.
     """
     me = Member("k", "disk", "k:1", "d")
     view = View(1, (me,))
@@ -320,24 +325,25 @@
     assert core.take_batch() is not None
 
 
-def test_heartbeats_carry_the_view_only_to_who_does_not_know_it() -> None:
-    """24 keepers take 1.1 MB a second each, and 85 of them many times as much.
+def test_heartbeats_contain_the_view_only_for_members_without_it() -> None:
+    """Heartbeat traffic grows with the cube of the number of members.
 
-    Every heartbeat to every member held the whole list of members.
+    With the whole list of members in every heartbeat, 24 keepers receive 1.1 MB a
+    second each, and 85 keepers many times as much.
     """
-    fleet = Deployment(5)
-    fleet.pass_time(3.0)
-    core = fleet.cores["k0:1"]
+    deployment = Deployment(5)
+    deployment.advance(3.0)
+    core = deployment.cores["k0:1"]
     core.take_outbox()
-    core.tick(fleet.now + 1.0)
+    core.tick(deployment.now + 1.0)
     pings = [m for _, m in core.take_outbox() if isinstance(m, Ping)]
     assert len(pings) == 4 and all(ping.view is None for ping in pings)
-    fleet.start("k3", "other-disk")
-    fleet.pass_time(3.0)
-    assert all(core.view == fleet.view for core in fleet.cores.values())
-    assert "k3-other-disk" in {member.disk for member in fleet.view.members}
-    stranger = Ping("old-version", View(), 0)
-    core.receive("k9:1", stranger, fleet.now)
-    core.tick(fleet.now + 1.0)
-    told = [m for to, m in core.take_outbox() if to == "k9:1" and isinstance(m, Ping)]
-    assert told and all(ping.view == core.view for ping in told)
+    deployment.start("k3", "other-disk")
+    deployment.advance(3.0)
+    assert all(core.view == deployment.view for core in deployment.cores.values())
+    assert "k3-other-disk" in {member.disk for member in deployment.view.members}
+    old_ping = Ping("old-version", View(), 0)
+    core.receive("k9:1", old_ping, deployment.now)
+    core.tick(deployment.now + 1.0)
+    sent = [m for to, m in core.take_outbox() if to == "k9:1" and isinstance(m, Ping)]
+    assert sent and all(ping.view == core.view for ping in sent)
--- a/tests/core/test_keepers_model.py
+++ b/tests/core/test_keepers_model.py
@@ -1,17 +1,17 @@
-"""Model checking of who keeps the ledger while machines come and go for good.
+"""Model checking of ledger membership while machines are lost, replaced and added.
 
-`test_ledger_model` explores late messages within three views.  Here a view reaches
-everybody at once, and the search goes over whole sequences instead: members that never
-come back, successors, additions, members that are emptied, disks that are lost at any
-step, members that are away for a while, and a platform store that does not answer.
+`test_ledger_model` explores delayed messages within three views.  Here a view reaches
+all members at once, and the search covers whole sequences instead: permanently lost
+members, successors, additions, members that are emptied, disks lost at any step,
+members that are temporarily disconnected, and a platform store that does not answer.
 
-The environment keeps what is tolerated: at most `LOSSES` machines are lost at a time.
-One that was away or lost its disk counts as lost until everything has settled; one that
-is gone for good, until everything has settled with its successor there.
+The environment respects the tolerance: at most `LOSSES` machines are lost at a time.  A
+machine that was disconnected or lost its disk counts as lost until all changes have
+settled; a permanently lost one, until they have settled and its successor is a member.
 
-A record that counted must be seen by every read quorum at every step.  Whenever
-everything has settled, the living members must be quorums of the list: a list without
-one is never mended, and every turn would be refused for good.
+A record that counted must be seen by every read quorum at every step.  Whenever all
+changes have settled, the live members must contain quorums of the list: a list without
+a quorum is never repaired, and every turn would be refused permanently.
 """
 
 from __future__ import annotations
@@ -44,64 +44,64 @@
 Propose = Callable[[View, Wishes, int], View | None]
 
 
-class Life(Enum):
-    """What has become of an instance."""
+class Liveness(Enum):
+    """State of an instance."""
 
-    RUNS = 0
-    AWAY = 1
-    GONE = 2
+    RUNNING = 0
+    DISCONNECTED = 1
+    LOST = 2
 
 
 class Node(NamedTuple):
-    """One instance; its disk is its name and how many it has lost."""
+    """One instance; its disk id is its name and the number of disks that it lost."""
 
     name: str
-    wipes: int = 0
-    life: Life = Life.RUNS
-    holds: bool = False
-    lost: bool = False
+    disk_losses: int = 0
+    liveness: Liveness = Liveness.RUNNING
+    has_record: bool = False
+    counts_as_lost: bool = False
 
     @property
     def member(self) -> Member:
-        disk = f"{self.name}{self.wipes}"
+        disk = f"{self.name}{self.disk_losses}"
         return Member(self.name, disk, f"{self.name}:1", f"domain-{self.name}")
 
 
-class World(NamedTuple):
+class SystemState(NamedTuple):
     """The whole system, and one record."""
 
     nodes: tuple[Node, ...]
     view: View
     retiring: frozenset[str]
-    counted: bool
-    store_away: bool
-    left: Bounds
+    is_counted: bool
+    store_unavailable: bool
+    remaining: Bounds
 
 
 class Bounds(NamedTuple):
-    """How many events of each kind may still come."""
+    """Number of events of each kind that may still occur."""
 
-    gone: int = 0
-    newcomers: int = 0
-    wipes: int = 0
-    aways: int = 0
-    emptied: int = 0
+    permanent_losses: int = 0
+    additions: int = 0
+    disk_losses: int = 0
+    disconnections: int = 0
+    retirements: int = 0
     outages: int = 0
 
 
-def initial_world(bounds: Bounds, founders: int) -> World:
-    nodes = tuple(Node(name) for name in NAMES[:founders])
+def initial_state(bounds: Bounds, initial_count: int) -> SystemState:
+    nodes = tuple(Node(name) for name in NAMES[:initial_count])
     view = View(0, tuple(node.member for node in nodes))
-    return World(nodes, view, frozenset(), False, False, bounds)
+    return SystemState(nodes, view, frozenset(), False, False, bounds)
 
 
-def running(world: World) -> list[Node]:
-    return [node for node in world.nodes if node.life is Life.RUNS]
+def running(state: SystemState) -> list[Node]:
+    return [node for node in state.nodes if node.liveness is Liveness.RUNNING]
 
 
-def changed(world: World, node: Node) -> World:
-    nodes = tuple(node if one.name == node.name else one for one in world.nodes)
-    return world._replace(nodes=nodes)
+def with_node(state: SystemState, node: Node) -> SystemState:
+    nodes = tuple(node if one.name == node.name else one for one in state.nodes)
+    return state._replace(nodes=nodes)
 
 
 # The system
@@ -118,234 +118,275 @@
     listed = {m.disk for m in (*view.members, *view.old)}
     wishes = Wishes(me, disks, frozenset(listed - disks), retiring)
     found = propose(view, wishes, LOSSES)
-    # Numbers grow for ever; here nobody has an old view, so they say nothing.
+    # No node has an old view here, so numbers have no effect.  Their growth would make
+    # the state space infinite.
     return None if found is None else found._replace(number=0)
 
 
-def proposals(world: World, propose: Propose) -> set[View]:
-    disks = frozenset(node.member.disk for node in running(world))
+def proposals(state: SystemState, propose: Propose) -> set[View]:
+    disks = frozenset(node.member.disk for node in running(state))
     found = {
-        proposal(propose, world.view, node.member, disks, world.retiring)
-        for node in running(world)
+        proposal(propose, state.view, node.member, disks, state.retiring)
+        for node in running(state)
     }
     return {view for view in found if view is not None}
 
 
 @cache
-def sources(view: View, me: Member) -> frozenset[ReplicaSet]:
+def copy_source_sets(view: View, me: Member) -> frozenset[ReplicaSet]:
     found = (must_copy(view, me, slot, LOSSES) for slot in range(SLOTS))
     return frozenset(replicas for replicas in found if replicas is not None)
 
 
-def copies(world: World) -> Iterator[tuple[str, World]]:
-    """Let members copy, each from any read quorum."""
-    by_disk = {node.member.disk: node for node in running(world)}
-    for node in running(world):
+def copy_steps(state: SystemState) -> Iterator[tuple[str, SystemState]]:
+    """Let each member copy, from any read quorum."""
+    by_disk = {node.member.disk: node for node in running(state)}
+    for node in running(state):
         me = node.member
-        wanted = sources(world.view, me)
-        if not wanted or me.disk in world.view.synced:
+        wanted = copy_source_sets(state.view, me)
+        if not wanted or me.disk in state.view.synced:
             continue
         if not all(replicas.readable(set(by_disk)) for replicas in wanted):
             continue
-        synced = tuple(sorted((*world.view.synced, me.disk)))
-        after = world._replace(view=world.view._replace(synced=synced))
-        mine = must_copy(world.view, me, SLOT, LOSSES)
-        for holds in _copied(node, mine, by_disk):
-            yield f"{me.disk} copies", changed(after, node._replace(holds=holds))
+        synced = tuple(sorted((*state.view.synced, me.disk)))
+        after = state._replace(view=state.view._replace(synced=synced))
+        source = must_copy(state.view, me, SLOT, LOSSES)
+        for has_record in _records_after_copy(node, source, by_disk):
+            yield (
+                f"{me.disk} copies",
+                with_node(after, node._replace(has_record=has_record)),
+            )
 
 
-def _copied(
+def _records_after_copy(
     node: Node, source: ReplicaSet | None, by_disk: dict[str, Node]
 ) -> set[bool]:
     if source is None:
-        return {node.holds}
-    there = [by_disk[m.disk] for m in source.members if m.disk in by_disk]
+        return {node.has_record}
+    live = [by_disk[m.disk] for m in source.members if m.disk in by_disk]
     return {
-        node.holds or any(one.holds for one in quorum)
-        for quorum in combinations(there, source.read)
+        node.has_record or any(one.has_record for one in quorum)
+        for quorum in combinations(live, source.read)
     }
 
 
-def writes(world: World) -> Iterator[tuple[str, World]]:
-    """Count the record on the least that a quorum takes."""
-    if world.counted:
+def write_steps(state: SystemState) -> Iterator[tuple[str, SystemState]]:
+    """Let the record count with each write quorum."""
+    if state.is_counted:
         return
-    there = {node.member.disk: node for node in running(world)}
-    sets = replica_sets(world.view, SLOT, LOSSES)
-    disks = sorted({m.disk for s in sets for m in s.members} & there.keys())
+    live = {node.member.disk: node for node in running(state)}
+    sets = replica_sets(state.view, SLOT, LOSSES)
+    disks = sorted({m.disk for s in sets for m in s.members} & live.keys())
     for size in range(LOSSES + 1, len(disks) + 1):
-        for some in combinations(disks, size):
-            if not all(s.written(set(some)) for s in sets):
+        for quorum in combinations(disks, size):
+            if not all(s.written(set(quorum)) for s in sets):
                 continue
-            after = world._replace(counted=True)
-            for disk in some:
-                after = changed(after, there[disk]._replace(holds=True))
-            yield f"{some} hold the record", after
+            after = state._replace(is_counted=True)
+            for disk in quorum:
+                after = with_node(after, live[disk]._replace(has_record=True))
+            yield f"{quorum} hold the record", after
 
 
-def system_steps(world: World, propose: Propose) -> list[tuple[str, World]]:
-    steps = list(writes(world))
-    if world.store_away:
+def system_steps(state: SystemState, propose: Propose) -> list[tuple[str, SystemState]]:
+    steps = list(write_steps(state))
+    if state.store_unavailable:
         return steps
-    views = proposals(world, propose)
-    steps += [(f"proposed {view}", world._replace(view=view)) for view in views]
-    return steps + list(copies(world))
+    views = proposals(state, propose)
+    steps += [(f"proposed {view}", state._replace(view=view)) for view in views]
+    return steps + list(copy_steps(state))
 
 
-def settled(world: World, propose: Propose) -> bool:
-    if world.store_away or proposals(world, propose):
+def settled(state: SystemState, propose: Propose) -> bool:
+    if state.store_unavailable or proposals(state, propose):
         return False
-    return next(copies(world), None) is None
+    return next(copy_steps(state), None) is None
 
 
 # The environment
 
 
-def spend(world: World, kind: str) -> World:
-    return world._replace(left=world.left._replace(**{kind: _left(world, kind) - 1}))
+def consume_event(state: SystemState, kind: str) -> SystemState:
+    return state._replace(
+        remaining=state.remaining._replace(**{kind: _remaining(state, kind) - 1})
+    )
 
 
-def _left(world: World, kind: str) -> int:
-    count: int = getattr(world.left, kind)
+def _remaining(state: SystemState, kind: str) -> int:
+    count: int = getattr(state.remaining, kind)
     return count
 
 
-def losses(world: World) -> Iterator[tuple[str, World]]:
+def loss_steps(state: SystemState) -> Iterator[tuple[str, SystemState]]:
     """Lose one more machine, if that is tolerated."""
-    if sum(node.lost for node in world.nodes) >= LOSSES:
+    if sum(node.counts_as_lost for node in state.nodes) >= LOSSES:
         return
-    for node in running(world):
+    for node in running(state):
         kinds = {
-            "gone": node._replace(life=Life.GONE, lost=True),
-            "aways": node._replace(life=Life.AWAY, lost=True),
-            "wipes": node._replace(wipes=node.wipes + 1, holds=False, lost=True),
+            "permanent_losses": node._replace(
+                liveness=Liveness.LOST, counts_as_lost=True
+            ),
+            "disconnections": node._replace(
+                liveness=Liveness.DISCONNECTED, counts_as_lost=True
+            ),
+            "disk_losses": node._replace(
+                disk_losses=node.disk_losses + 1, has_record=False, counts_as_lost=True
+            ),
         }
         for kind, after in kinds.items():
-            if _left(world, kind):
-                yield f"{node.name}: {kind}", spend(changed(world, after), kind)
+            if _remaining(state, kind):
+                yield (
+                    f"{node.name}: {kind}",
+                    consume_event(with_node(state, after), kind),
+                )
 
 
-def returns(world: World) -> Iterator[tuple[str, World]]:
-    for node in world.nodes:
-        if node.life is Life.AWAY:
-            yield f"{node.name} is back", changed(world, node._replace(life=Life.RUNS))
+def return_steps(state: SystemState) -> Iterator[tuple[str, SystemState]]:
+    for node in state.nodes:
+        if node.liveness is Liveness.DISCONNECTED:
+            yield (
+                f"{node.name} is back",
+                with_node(state, node._replace(liveness=Liveness.RUNNING)),
+            )
 
 
-def planned(world: World) -> Iterator[tuple[str, World]]:
+def planned_steps(state: SystemState) -> Iterator[tuple[str, SystemState]]:
     """Add an instance, empty one, take an emptied one away, stop the store."""
-    if _left(world, "newcomers"):
-        fresh = Node(NAMES[len(world.nodes)])
+    if _remaining(state, "additions"):
+        fresh = Node(NAMES[len(state.nodes)])
         yield (
             "a newcomer",
-            spend(world._replace(nodes=(*world.nodes, fresh)), "newcomers"),
+            consume_event(state._replace(nodes=(*state.nodes, fresh)), "additions"),
+        )
+    if _remaining(state, "outages") and not state.store_unavailable:
+        yield (
+            "the store is away",
+            consume_event(state._replace(store_unavailable=True), "outages"),
         )
-    if _left(world, "outages") and not world.store_away:
-        yield "the store is away", spend(world._replace(store_away=True), "outages")
-    if world.store_away:
-        yield "the store is back", world._replace(store_away=False)
-    if _left(world, "emptied"):
-        for node in running(world):
-            retiring = world.retiring | {node.name}
+    if state.store_unavailable:
+        yield "the store is back", state._replace(store_unavailable=False)
+    if _remaining(state, "retirements"):
+        for node in running(state):
+            retiring = state.retiring | {node.name}
             yield (
                 f"{node.name} is to be emptied",
-                spend(world._replace(retiring=retiring), "emptied"),
+                consume_event(state._replace(retiring=retiring), "retirements"),
             )
-    listed = {m.name for m in (*world.view.members, *world.view.old)}
-    for node in running(world):
-        if node.name in world.retiring - listed:
-            gone = node._replace(life=Life.GONE, lost=False)
-            yield f"{node.name} is emptied and gone", changed(world, gone)
-
-
-def settle(world: World) -> World:
-    """Let machines count no longer as lost, as far as everything has settled."""
-    gone = sum(node.life is Life.GONE and node.lost for node in world.nodes)
-    listed = {m.name for m in world.view.members}
-    newcomers = len(listed - set(NAMES[:FOUNDERS]))
+    listed = {m.name for m in (*state.view.members, *state.view.old)}
+    for node in running(state):
+        if node.name in state.retiring - listed:
+            removed = node._replace(liveness=Liveness.LOST, counts_as_lost=False)
+            yield f"{node.name} is emptied and removed", with_node(state, removed)
+
+
+def settle(state: SystemState) -> SystemState:
+    """Stop counting machines as lost that have returned or been replaced."""
+    lost_count = sum(
+        node.liveness is Liveness.LOST and node.counts_as_lost for node in state.nodes
+    )
+    listed = {m.name for m in state.view.members}
+    newcomer_count = len(listed - set(NAMES[:INITIAL_MEMBERS]))
     nodes = tuple(
-        node._replace(lost=node.lost and not _regained(node, gone <= newcomers))
-        for node in world.nodes
+        node._replace(
+            counts_as_lost=node.counts_as_lost
+            and not _has_recovered(node, lost_count <= newcomer_count)
+        )
+        for node in state.nodes
     )
-    return world._replace(nodes=nodes)
+    return state._replace(nodes=nodes)
 
 
-def _regained(node: Node, has_successor: bool) -> bool:
-    return node.life is Life.RUNS or (node.life is Life.GONE and has_successor)
+def _has_recovered(node: Node, has_successor: bool) -> bool:
+    return node.liveness is Liveness.RUNNING or (
+        node.liveness is Liveness.LOST and has_successor
+    )
 
 
-def steps_of(world: World, propose: Propose) -> list[tuple[str, World]]:
-    steps = system_steps(world, propose)
-    steps += [*losses(world), *returns(world), *planned(world)]
-    if settled(world, propose):
-        steps.append(("settled", settle(world)))
-    return [(label, after) for label, after in steps if after != world]
+def steps_of(state: SystemState, propose: Propose) -> list[tuple[str, SystemState]]:
+    steps = system_steps(state, propose)
+    steps += [*loss_steps(state), *return_steps(state), *planned_steps(state)]
+    if settled(state, propose):
+        steps.append(("settled", settle(state)))
+    return [(label, after) for label, after in steps if after != state]
 
 
 # What must hold
 
 
-def record_is_seen(world: World) -> bool:
+def record_is_seen(state: SystemState) -> bool:
     """Check that no read quorum of running members misses a record that counted."""
-    if not world.counted:
+    if not state.is_counted:
         return True
-    without = {node.member.disk for node in running(world) if not node.holds}
-    sets = replica_sets(world.view, SLOT, LOSSES)
+    without = {node.member.disk for node in running(state) if not node.has_record}
+    sets = replica_sets(state.view, SLOT, LOSSES)
     return not all(replicas.readable(without) for replicas in sets)
 
 
-def is_served(world: World, propose: Propose) -> bool:
-    """Check that the running members are quorums whenever everything has settled.
+def is_served(state: SystemState, propose: Propose) -> bool:
+    """Check that the running members contain quorums once all changes have settled.
 
-    With t instances or fewer no list can hold t + 1 copies: writes wait for the next.
+    With t instances or fewer no list can hold t + 1 copies: writes wait for another.
     """
-    staying = [node for node in running(world) if node.name not in world.retiring]
-    if len(staying) <= LOSSES or not settled(world, propose):
+    staying = [node for node in running(state) if node.name not in state.retiring]
+    if len(staying) <= LOSSES or not settled(state, propose):
         return True
-    there = {node.member.disk for node in running(world)}
+    live = {node.member.disk for node in running(state)}
     sets = [
         replicas
         for slot in range(SLOTS)
-        for replicas in replica_sets(world.view, slot, LOSSES)
+        for replicas in replica_sets(state.view, slot, LOSSES)
     ]
-    return all(s.written(there) and s.readable(there) for s in sets)
+    return all(s.written(live) and s.readable(live) for s in sets)
 
 
-FOUNDERS: Final = 3
+INITIAL_MEMBERS: Final = 3
 
 
 def check(propose: Propose, bounds: Bounds) -> dict[str, Any]:
     def invariant(fields: dict[str, Any]) -> bool:
-        world = World(**fields)
-        assert record_is_seen(world), f"a record is missed: {world}"
-        assert is_served(world, propose), f"no quorum lives: {world}"
+        state = SystemState(**fields)
+        assert record_is_seen(state), f"a record is missed: {state}"
+        assert is_served(state, propose), f"no quorum lives: {state}"
         return True
 
     protocol = Protocol(
         name="keepers",
         candidate=False,
-        fields=World._fields,
-        initial=initial_world(bounds, FOUNDERS),
-        transitions=lambda state: steps_of(World(*state), propose),
+        fields=SystemState._fields,
+        initial=initial_state(bounds, INITIAL_MEMBERS),
+        transitions=lambda state: steps_of(SystemState(*state), propose),
         invariants={"records are seen and members are quorums": invariant},
     )
     result: dict[str, Any] = check_safety(protocol, max_states=MAX_STATES)
     return result
 
 
-# Those under the switch take some minutes.
+# Searches with MODEL_ALL take some minutes.
 SEARCHES = {
-    "emptied, replaced, one disk lost": Bounds(gone=1, newcomers=1, wipes=1, emptied=1),
-    "replaced twice": Bounds(gone=2, newcomers=2),
+    "emptied, replaced, one disk lost": Bounds(
+        permanent_losses=1, additions=1, disk_losses=1, retirements=1
+    ),
+    "replaced twice": Bounds(permanent_losses=2, additions=2),
     "away, and a disk lost beside an outage": Bounds(
-        aways=1, wipes=1, emptied=1, outages=1
+        disconnections=1, disk_losses=1, retirements=1, outages=1
     ),
 }
 if os.environ.get("MODEL_ALL"):
-    SEARCHES["replaced twice, two disks lost"] = Bounds(gone=2, newcomers=2, wipes=2)
-    SEARCHES["emptied twice, replaced, added"] = Bounds(gone=1, newcomers=2, emptied=2)
-    SEARCHES["emptied twice, two disks lost"] = Bounds(wipes=2, newcomers=1, emptied=2)
+    SEARCHES["replaced twice, two disks lost"] = Bounds(
+        permanent_losses=2, additions=2, disk_losses=2
+    )
+    SEARCHES["emptied twice, replaced, added"] = Bounds(
+        permanent_losses=1, additions=2, retirements=2
+    )
+    SEARCHES["emptied twice, two disks lost"] = Bounds(
+        disk_losses=2, additions=1, retirements=2
+    )
     SEARCHES["everything"] = Bounds(
-        gone=1, newcomers=1, wipes=1, aways=1, emptied=1, outages=1
+        permanent_losses=1,
+        additions=1,
+        disk_losses=1,
+        disconnections=1,
+        retirements=1,
+        outages=1,
     )
 
 
@@ -356,23 +397,23 @@
     assert all(outcome["holds"] for outcome in result["properties"].values())
 
 
-def never_drops(view: View, wishes: Wishes, losses: int) -> View | None:
-    """Leave a silent member in a list that has no more than 2t + 1."""
-    if len(view.members) <= 2 * losses + 1:
+def never_removes(view: View, wishes: Wishes, max_failures: int) -> View | None:
+    """Leave an unresponsive member in a list of at most 2t + 1."""
+    if len(view.members) <= 2 * max_failures + 1:
         wishes = wishes._replace(unresponsive=frozenset())
-    return next_view(view, wishes, losses)
+    return next_view(view, wishes, max_failures)
 
 
-def drops_too_early(view: View, wishes: Wishes, losses: int) -> View | None:
-    """End a change before those that stay have copied."""
+def ends_change_early(view: View, wishes: Wishes, max_failures: int) -> View | None:
+    """End a change before the remaining members have copied."""
     if view.old:
         return View(view.number + 1, view.members)
-    return next_view(view, wishes, losses)
+    return next_view(view, wishes, max_failures)
 
 
 BROKEN: Final[dict[str, Propose]] = {
-    "no quorum lives": never_drops,
-    "a record is missed": drops_too_early,
+    "no quorum lives": never_removes,
+    "a record is missed": ends_change_early,
 }
 
 
--- a/tests/core/test_ledger.py
+++ b/tests/core/test_ledger.py
@@ -1,4 +1,4 @@
-"""Accounts: merging copies, late and doubled records, chains, budgets."""
+"""Tests of accounts: merging of copies, late and duplicate records, chains, budgets."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 def test_every_order_of_records_gives_the_same_account() -> None:
-    """Records reach the replicas late, doubled and in any order.
+    """Records reach the replicas late, duplicated and in any order.
 
-    If a late reservation could undo its settlement, two replicas would disagree on what
-    is left of the budget, and a caller would be refused or served by chance.
+    If a late reservation could undo its settlement, two replicas would disagree on the
+    remaining budget, and whether a caller is refused would depend on the replica.
     """
     records = [
         reserve("a", 500),
@@ -46,13 +46,13 @@
     assert results[0][0] == {"a": Attempt(200, True), "b": Attempt(0, True)}
 
 
-def test_only_new_records_are_handed_on() -> None:
+def test_merge_returns_only_new_records() -> None:
     ledger = Ledger()
     assert ledger.merge(reserve("a", 5), 0.0) == reserve("a", 5)
     assert ledger.merge(reserve("a", 5), 0.0) is None
 
 
-def test_chain_goes_as_far_back_as_it_is_here() -> None:
+def test_chain_contains_only_stored_turns() -> None:
     account = Account("p", 0.0)
     account.merge(settle("t2", 1, Turn("t2", "t1", b"2")), 0.0)
     assert [turn.said for turn in account.chain("t2")] == [b"2"]
@@ -63,7 +63,7 @@
     assert account.chain("t3") == []
 
 
-def test_budget_counts_reservations_at_their_most() -> None:
+def test_budget_counts_reservations_at_their_maximum() -> None:
     attempts = merged_attempts(
         [
             {"a": Attempt(500, False), "b": Attempt(500, False)},
--- a/tests/core/test_ledger_model.py
+++ b/tests/core/test_ledger_model.py
@@ -1,9 +1,9 @@
-"""Model checking of the ledger's changes of members, with the shipped functions.
+"""Model checking of membership changes of the ledger, with the production functions.
 
 A state holds the view in the store, the views, disks and synced records of four
-instances, and which replicas have accepted a record under which view.  Requests are
+instances, and which replicas have accepted a record in which view.  Requests are
 delivered late, to any replica, or never; any member proposes at any time, wrongly
-suspecting any other; one disk is lost.  A record counts once its writer has its quorum.
+suspecting any other; one disk is lost.  A record counts once its writer has a quorum.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 SLOT = 0
 MAX_STATES = 3_000_000
 NAMES = ("a", "b", "c", "d")
-FOUNDERS = 3
+INITIAL_MEMBERS = 3
 RETIRING = frozenset({"a"})
 
 
@@ -39,52 +39,54 @@
 
     disk: str
     view: View
-    holds: bool
+    has_record: bool
     copied: frozenset[str]
 
 
-class World(NamedTuple):
-    """The whole system, and one record on its way."""
+class SystemState(NamedTuple):
+    """State of the system, and one record in transit."""
 
     nodes: tuple[Node, ...]
     store: View
     views: tuple[View, ...]
-    asked: int
+    write_view: int
     accepted: frozenset[str]
-    counted: bool
-    wipes: int
+    is_counted: bool
+    disk_losses: int
     restarts: int
 
 
 class Bounds(NamedTuple):
-    """How far the search goes.
+    """Bounds of the search.
 
-    With a newcomer and a lost disk at once it takes minutes, so the suite takes them
-    apart; docs/guarantees.md names what was explored by hand.
+    A new member and a lost disk in one search take minutes, so the suite covers them
+    separately; docs/guarantees.md lists the searches that were run manually.
     """
 
     views: int = 3
-    wipes: int = 0
+    disk_losses: int = 0
     nodes: int = 4
     retiring: bool = False
 
 
-NEWCOMER: Final = Bounds()
-LOST_DISK: Final = Bounds(wipes=1, nodes=3)
-EMPTIED: Final = Bounds(retiring=True)
-ALL: Final = Bounds(wipes=1)
+NEW_MEMBER: Final = Bounds()
+LOST_DISK: Final = Bounds(disk_losses=1, nodes=3)
+RETIREMENT: Final = Bounds(retiring=True)
+COMBINED: Final = Bounds(disk_losses=1)
 
 
 class Rules(NamedTuple):
-    """The decisions under test; a broken variant replaces one of them."""
+    """The decisions under test; each broken variant replaces one of them."""
 
-    bounds: Bounds = NEWCOMER
+    bounds: Bounds = NEW_MEMBER
     propose: Callable[[View, Wishes, int], View | None] = next_view
     copies_from: Callable[..., Any] = must_copy
-    accepts: Callable[[int, int], bool] = lambda asked, known: asked == known
-    counts: Callable[[World, int], bool] = lambda world, number: _written(world, number)
-    keeps_view: bool = True
-    keeps_records: bool = True
+    accepts: Callable[[int, int], bool] = lambda write_view, known: write_view == known
+    counts: Callable[[SystemState, int], bool] = lambda state, number: _written(
+        state, number
+    )
+    persists_view: bool = True
+    persists_records: bool = True
 
 
 def member(index: int, disk: str) -> Member:
@@ -92,25 +94,25 @@
     return Member(name, disk, f"{name}:1", f"domain-{name}")
 
 
-def initial_world(bounds: Bounds) -> World:
-    founders = tuple(member(i, f"{NAMES[i]}1") for i in range(FOUNDERS))
-    view = View(1, founders)
+def initial_state(bounds: Bounds) -> SystemState:
+    initial_members = tuple(member(i, f"{NAMES[i]}1") for i in range(INITIAL_MEMBERS))
+    view = View(1, initial_members)
     nodes = tuple(
         Node(f"{name}1", view, False, frozenset()) for name in NAMES[: bounds.nodes]
     )
-    return World(nodes, view, (view,), 0, frozenset(), False, 0, 0)
+    return SystemState(nodes, view, (view,), 0, frozenset(), False, 0, 0)
 
 
-def _written(world: World, number: int) -> bool:
-    view = next(v for v in world.views if v.number == number)
-    disks = set(world.accepted)
+def _written(state: SystemState, number: int) -> bool:
+    view = next(v for v in state.views if v.number == number)
+    disks = set(state.accepted)
     return all(s.written(disks) for s in replica_sets(view, SLOT, LOSSES))
 
 
-def put(world: World, index: int, node: Node) -> World:
-    nodes = list(world.nodes)
+def with_node(state: SystemState, index: int, node: Node) -> SystemState:
+    nodes = list(state.nodes)
     nodes[index] = node
-    return world._replace(nodes=tuple(nodes))
+    return state._replace(nodes=tuple(nodes))
 
 
 @cache
@@ -119,9 +121,9 @@
     return found
 
 
-def all_wishes(world: World, index: int, bounds: Bounds) -> list[Wishes]:
-    """Every opinion that an instance may have of the others."""
-    node = world.nodes[index]
+def all_observations(state: SystemState, index: int, bounds: Bounds) -> list[Wishes]:
+    """Return all inputs that an instance may have for its decision."""
+    node = state.nodes[index]
     others = [m.disk for m in node.view.members if m.disk != node.disk]
     me = member(index, node.disk)
     everyone = frozenset({*others, node.disk})
@@ -132,151 +134,156 @@
     return found
 
 
-def write_steps(world: World, rules: Rules) -> list[Any]:
-    """Deliver the one write; copies that arrive after it counted only help."""
-    if world.counted:
+def write_steps(state: SystemState, rules: Rules) -> list[Any]:
+    """Deliver the write; copies that arrive after it counted can be ignored."""
+    if state.is_counted:
         return []
     steps = []
-    views = [v for v in world.views if world.asked in (0, v.number)]
+    views = [v for v in state.views if state.write_view in (0, v.number)]
     for view in views:
-        for index, node in enumerate(world.nodes):
+        for index, node in enumerate(state.nodes):
             me = member(index, node.disk)
             known = rules.accepts(view.number, node.view.number)
             in_view = me in view.members or me in view.old
-            if not known or not in_view or node.disk in world.accepted:
+            if not known or not in_view or node.disk in state.accepted:
                 continue
-            after = put(world, index, node._replace(holds=True))
-            accepted = world.accepted | {node.disk}
-            after = after._replace(asked=view.number, accepted=accepted)
+            after = with_node(state, index, node._replace(has_record=True))
+            accepted = state.accepted | {node.disk}
+            after = after._replace(write_view=view.number, accepted=accepted)
             if rules.counts(after, view.number):
-                after = after._replace(counted=True, accepted=frozenset())
+                after = after._replace(is_counted=True, accepted=frozenset())
             steps.append((f"{node.disk} accepts {view.number}", after))
     return steps
 
 
-def view_steps(world: World, index: int, rules: Rules) -> list[Any]:
-    node = world.nodes[index]
+def view_steps(state: SystemState, index: int, rules: Rules) -> list[Any]:
+    node = state.nodes[index]
     steps = []
-    if node.view.number != world.store.number:
+    if node.view.number != state.store.number:
         changed = node._replace(
-            view=world.store._replace(synced=()), copied=frozenset()
+            view=state.store._replace(synced=()), copied=frozenset()
         )
-        steps.append((f"{node.disk} adopts", put(world, index, changed)))
+        steps.append((f"{node.disk} adopts", with_node(state, index, changed)))
         return steps
-    for wishes in all_wishes(world, index, rules.bounds):
-        wanted = proposal(rules.propose, world.store, wishes)
+    for wishes in all_observations(state, index, rules.bounds):
+        wanted = proposal(rules.propose, state.store, wishes)
         if wanted is not None and wanted.number <= rules.bounds.views:
-            after = world._replace(store=wanted, views=(*world.views, wanted))
+            after = state._replace(store=wanted, views=(*state.views, wanted))
             steps.append((f"{node.disk} proposes {wanted}", after))
     return steps
 
 
-def copy_steps(world: World, index: int, rules: Rules) -> list[Any]:
-    node = world.nodes[index]
+def copy_steps(state: SystemState, index: int, rules: Rules) -> list[Any]:
+    node = state.nodes[index]
     me = member(index, node.disk)
     old = rules.copies_from(node.view, me, SLOT, LOSSES)
     if old is None:
         if node.view.old and me in node.view.members:
-            return declare(world, index)
+            return report_synced(state, index)
         return []
     steps = []
-    for source in world.nodes:
+    for source in state.nodes:
         same = source.view.number == node.view.number
         if source.disk == node.disk or not same or source.disk in node.copied:
             continue
         if any(source.disk == m.disk for m in old.members):
             changed = node._replace(
-                holds=node.holds or source.holds, copied=node.copied | {source.disk}
+                has_record=node.has_record or source.has_record,
+                copied=node.copied | {source.disk},
             )
             label = f"{node.disk} copies {source.disk}"
-            steps.append((label, put(world, index, changed)))
+            steps.append((label, with_node(state, index, changed)))
     if old.readable({*node.copied, node.disk}):
-        steps += declare(world, index)
+        steps += report_synced(state, index)
     return steps
 
 
-def declare(world: World, index: int) -> list[Any]:
-    node = world.nodes[index]
-    known = node.view.number == world.store.number
-    if not known or node.disk in world.store.synced:
+def report_synced(state: SystemState, index: int) -> list[Any]:
+    node = state.nodes[index]
+    known = node.view.number == state.store.number
+    if not known or node.disk in state.store.synced:
         return []
-    synced = tuple(sorted((*world.store.synced, node.disk)))
-    after = world._replace(store=world.store._replace(synced=synced))
+    synced = tuple(sorted((*state.store.synced, node.disk)))
+    after = state._replace(store=state.store._replace(synced=synced))
     return [(f"{node.disk} is synced", after)]
 
 
-def loss_steps(world: World, index: int, rules: Rules) -> list[Any]:
-    node = world.nodes[index]
+def loss_steps(state: SystemState, index: int, rules: Rules) -> list[Any]:
+    node = state.nodes[index]
     steps = []
-    if world.wipes < rules.bounds.wipes:
+    if state.disk_losses < rules.bounds.disk_losses:
         fresh = Node(f"{NAMES[index]}2", View(), False, frozenset())
-        after = put(world, index, fresh)._replace(wipes=world.wipes + 1)
+        after = with_node(state, index, fresh)._replace(
+            disk_losses=state.disk_losses + 1
+        )
         steps.append((f"{node.disk} is lost", after))
-    if not rules.keeps_view and world.restarts < 1 and node.view.number > 1:
-        changed = node._replace(view=world.views[0], copied=frozenset())
-        after = put(world, index, changed)._replace(restarts=1)
+    if not rules.persists_view and state.restarts < 1 and node.view.number > 1:
+        changed = node._replace(view=state.views[0], copied=frozenset())
+        after = with_node(state, index, changed)._replace(restarts=1)
         steps.append((f"{node.disk} restarts", after))
-    if not rules.keeps_records and world.restarts < 1 and node.holds:
-        after = put(world, index, node._replace(holds=False))._replace(restarts=1)
+    if not rules.persists_records and state.restarts < 1 and node.has_record:
+        after = with_node(state, index, node._replace(has_record=False))._replace(
+            restarts=1
+        )
         steps.append((f"{node.disk} restarts without its records", after))
     return steps
 
 
-def steps_of(world: World, rules: Rules) -> list[Any]:
-    steps = write_steps(world, rules)
+def steps_of(state: SystemState, rules: Rules) -> list[Any]:
+    steps = write_steps(state, rules)
     for index in range(rules.bounds.nodes):
-        steps += view_steps(world, index, rules)
-        steps += copy_steps(world, index, rules)
-        steps += loss_steps(world, index, rules)
-    return [(label, after) for label, after in steps if after != world]
+        steps += view_steps(state, index, rules)
+        steps += copy_steps(state, index, rules)
+        steps += loss_steps(state, index, rules)
+    return [(label, after) for label, after in steps if after != state]
 
 
 def counted_is_seen(fields: dict[str, Any]) -> bool:
     """Check that no read quorum can miss a record that counted.
 
-    A quorum is asked under one view, and only replicas that know that view answer.
+    A quorum is read in one view, and only replicas with that view reply.
     """
-    world = World(**fields)
-    if not world.counted:
+    state = SystemState(**fields)
+    if not state.is_counted:
         return True
-    return not any(missed_under(world, view) for view in world.views)
+    return not any(is_missed_in(state, view) for view in state.views)
 
 
-def missed_under(world: World, view: View) -> bool:
+def is_missed_in(state: SystemState, view: View) -> bool:
     without = {
         node.disk
-        for node in world.nodes
-        if not node.holds and node.view.number == view.number
+        for node in state.nodes
+        if not node.has_record and node.view.number == view.number
     }
     sets = replica_sets(view, SLOT, LOSSES)
     return all(len(s.members) >= s.write and s.readable(without) for s in sets)
 
 
-class Violated(Exception):
+class InvariantViolated(Exception):
     """Ends the search of a broken variant at its first counterexample."""
 
 
 def check(rules: Rules) -> dict[str, Any]:
     def invariant(fields: dict[str, Any]) -> bool:
         if not counted_is_seen(fields):
-            raise Violated(str(World(**fields)))
+            raise InvariantViolated(str(SystemState(**fields)))
         return True
 
     protocol = Protocol(
         name="ledger",
         candidate=False,
-        fields=World._fields,
-        initial=initial_world(rules.bounds),
-        transitions=lambda state: steps_of(World(*state), rules),
+        fields=SystemState._fields,
+        initial=initial_state(rules.bounds),
+        transitions=lambda state: steps_of(SystemState(*state), rules),
         invariants={"a counted record is seen": invariant},
     )
     result: dict[str, Any] = check_safety(protocol, max_states=MAX_STATES)
     return result
 
 
-SEARCHES = [NEWCOMER, LOST_DISK, EMPTIED]
+SEARCHES = [NEW_MEMBER, LOST_DISK, RETIREMENT]
 if os.environ.get("MODEL_ALL"):
-    SEARCHES.append(ALL)
+    SEARCHES.append(COMBINED)
 
 
 @pytest.mark.parametrize("bounds", SEARCHES, ids=str)
@@ -286,13 +293,13 @@
     assert all(outcome["holds"] for outcome in result["properties"].values())
 
 
-def at_once(view: View, wishes: Wishes, losses: int) -> View | None:
+def without_joint_view(view: View, wishes: Wishes, losses: int) -> View | None:
     """Change the members without a joint view."""
     found = next_view(view, wishes, losses)
     return None if found is None else found._replace(old=())
 
 
-def forgets_old(view: View, wishes: Wishes, losses: int) -> View | None:
+def ends_change_early(view: View, wishes: Wishes, losses: int) -> View | None:
     """End a change before the new replicas have copied."""
     if view.old:
         return View(view.number + 1, view.members)
@@ -303,27 +310,29 @@
     return None
 
 
-def counts_one(world: World, number: int) -> bool:
+def counts_single_copy(state: SystemState, number: int) -> bool:
     """Acknowledge a record that one replica has synced."""
-    return len(world.accepted) > 0
+    return len(state.accepted) > 0
 
 
-def counts_new_only(world: World, number: int) -> bool:
-    """Take a quorum of the new list for enough while a change lasts."""
-    view = next(v for v in world.views if v.number == number)
-    disks = set(world.accepted)
+def counts_new_list_only(state: SystemState, number: int) -> bool:
+    """Require only a quorum of the new list during a change."""
+    view = next(v for v in state.views if v.number == number)
+    disks = set(state.accepted)
     return replica_set(view.members, SLOT, LOSSES).written(disks)
 
 
 BROKEN = {
-    "members change at once": Rules(propose=at_once),
-    "the old list is dropped before the copies": Rules(propose=forgets_old),
+    "members change at once": Rules(propose=without_joint_view),
+    "the old list is dropped before the copies": Rules(propose=ends_change_early),
     "new replicas do not copy": Rules(copies_from=never_copies),
-    "old views are accepted": Rules(accepts=lambda asked, known: asked <= known),
-    "one synced copy counts": Rules(counts=counts_one),
-    "the new list alone counts": Rules(counts=counts_new_only),
-    "a restart forgets the view": Rules(keeps_view=False),
-    "a restart forgets its records": Rules(keeps_records=False),
+    "old views are accepted": Rules(
+        accepts=lambda write_view, known: write_view <= known
+    ),
+    "one synced copy counts": Rules(counts=counts_single_copy),
+    "the new list alone counts": Rules(counts=counts_new_list_only),
+    "a restart forgets the view": Rules(persists_view=False),
+    "a restart forgets its records": Rules(persists_records=False),
 }
 
 
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -1,4 +1,4 @@
-"""Replica sets, and whom a write with much data goes to first."""
+"""Tests of replica sets, and of the selection of replicas for large writes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 MEMBERS = tuple(member(f"k{n}", f"d{n % 3}") for n in range(8))
 
 
-def test_replicas_lie_in_as_many_domains_as_there_are() -> None:
+def test_replicas_are_in_as_many_domains_as_possible() -> None:
     for slot in range(SLOTS):
         for losses in (1, 2):
             chosen = replica_set(MEMBERS, slot, losses)
@@ -27,25 +27,25 @@
             assert chosen.write + chosen.read == len(chosen.members) + 1
 
 
-def test_few_members_hold_every_slot_alone() -> None:
+def test_few_members_are_replicas_of_every_slot() -> None:
     chosen = replica_set(MEMBERS[:2], 0, 1)
     assert (len(chosen.members), chosen.write, chosen.read) == (2, 2, 1)
 
 
 def test_slots_are_spread_over_the_members() -> None:
-    held = {m.name: 0 for m in MEMBERS}
+    slot_counts = {m.name: 0 for m in MEMBERS}
     for slot in range(SLOTS):
         for chosen in replica_set(MEMBERS, slot, 1).members:
-            held[chosen.name] += 1
-    assert min(held.values()) > 0
+            slot_counts[chosen.name] += 1
+    assert min(slot_counts.values()) > 0
     assert slot_of_program("p") == slot_of_program("p")
 
 
-def test_much_data_goes_to_as_few_as_will_do_and_apart() -> None:
-    """A kept turn is written from a relay with a slow link.
+def test_large_writes_go_to_few_replicas_in_different_domains() -> None:
+    """A turn is written by a relay with a slow link.
 
-    Two copies in two failure domains are enough to count.  A third one sent at the same
-    moment takes a third of the link from the next turns.
+    Two copies in two failure domains are enough for the write to count.  A third copy
+    sent at the same time would take a third of the link from the next turns.
     """
     for slot in range(SLOTS):
         replicas = replica_set(MEMBERS, slot, 1)
@@ -55,7 +55,7 @@
         assert chosen[0].domain == "d1"
 
 
-def test_a_replica_that_did_not_answer_is_passed_over() -> None:
+def test_suspected_replica_is_not_selected() -> None:
     replicas = replica_set(MEMBERS, 0, 1)
     lost = preferred(replicas, "d1", set(), 2)[0]
     chosen = preferred(replicas, "d1", {lost.disk}, 2)
--- a/tests/keeper/bench.py
+++ b/tests/keeper/bench.py
@@ -1,9 +1,9 @@
 """Processor time of a keeper for one request: ``python -m tests.keeper.bench``.
 
-A keeper's core, storage and transport run in a process of their own, with a real
-folder; requests come over loopback at a steady rate from several relays' transports
-here, as they do from relays that serve callers: a reservation, then its settlement.
-With ``profile`` as argument the functions that took longest are listed too.
+The core, storage and transport of a keeper run in a separate process with a real
+folder.  This process sends requests over loopback at a steady rate from the transports
+of several relays, as relays that serve callers do: a reservation, then its settlement.
+With the argument ``profile`` the functions that took longest are printed as well.
 """
 
 from __future__ import annotations
@@ -37,11 +37,11 @@
 
 RELAYS: Final = 6
 REQUESTS: Final = 6_000
-PER_S: Final = 600.0
-KEEP_S: Final = 60.0
+REQUESTS_PER_S: Final = 600.0
+RETENTION_S: Final = 60.0
 
 
-async def _keeper(address: str) -> None:
+async def _run_keeper(address: str) -> None:
     """Serve until standard input ends; then print the processor time."""
     with tempfile.TemporaryDirectory() as folder:
         disk = Log(folder)
@@ -55,12 +55,12 @@
             for to, message in core.take_outbox():
                 transport.send(to, message)
 
-        def take(sender: str, message: LedgerMessage) -> None:
+        def on_message(sender: str, message: LedgerMessage) -> None:
             core.receive(sender, message, time.monotonic())
             send()
             storage.wake()
 
-        transport = _transport(address, take)
+        transport = _transport(address, on_message)
         async with anyio.create_task_group() as group:
             group.start_soon(transport.run)
             group.start_soon(storage.run, send)
@@ -69,9 +69,9 @@
             profile = cProfile.Profile()
             if len(sys.argv) > 2:
                 profile.enable()
-            began = time.process_time()
+            started_at = time.process_time()
             await anyio.to_thread.run_sync(sys.stdin.readline)
-            print(time.process_time() - began, core.batches_synced, flush=True)
+            print(time.process_time() - started_at, core.batches_synced, flush=True)
             if len(sys.argv) > 2:
                 profile.disable()
                 pstats.Stats(profile, stream=sys.stderr).sort_stats(
@@ -80,10 +80,10 @@
             group.cancel_scope.cancel()
 
 
-def _transport(address: str, take: object) -> Transport[LedgerMessage]:
+def _transport(address: str, on_message: object) -> Transport[LedgerMessage]:
     return Transport(
         f"{address}#1",
-        take,  # type: ignore[arg-type]
+        on_message,  # type: ignore[arg-type]
         deployment=LEDGER_DEPLOYMENT,
         codec=LEDGER_CODEC,
         gather_s=LEDGER_GATHER_S,
@@ -91,26 +91,28 @@
     )
 
 
-async def _relay(to: str, name: str, answered: list[float]) -> None:
+async def _run_relay(to: str, name: str, latencies_s: list[float]) -> None:
     sent_at: dict[int, float] = {}
 
-    def take(sender: str, message: LedgerMessage) -> None:
+    def on_message(sender: str, message: LedgerMessage) -> None:
         op = getattr(message, "op", 0)
         if op in sent_at:
-            answered.append(time.monotonic() - sent_at.pop(op))
+            latencies_s.append(time.monotonic() - sent_at.pop(op))
 
-    transport = _transport(free_address(), take)
+    transport = _transport(free_address(), on_message)
     async with anyio.create_task_group() as group:
         group.start_soon(transport.run)
         count = REQUESTS // RELAYS
-        began = time.monotonic()
+        started_at = time.monotonic()
         for number in range(count):
             attempt = Attempt(250, number % 2 == 1)
-            entry = Entry(f"{name}-{number // 8}", KEEP_S, {f"a{number // 2}": attempt})
+            entry = Entry(
+                f"{name}-{number // 8}", RETENTION_S, {f"a{number // 2}": attempt}
+            )
             sent_at[number] = time.monotonic()
             transport.send(to, Write(number, 1, entry))
-            due = began + number * RELAYS / PER_S
-            await anyio.sleep(max(0.0, due - time.monotonic()))
+            due_at = started_at + number * RELAYS / REQUESTS_PER_S
+            await anyio.sleep(max(0.0, due_at - time.monotonic()))
         await anyio.sleep(0.3)
         group.cancel_scope.cancel()
 
@@ -127,23 +129,23 @@
     await anyio.to_thread.run_sync(keeper.stdout.readline)
     keeper.stdin.write("\n")
     keeper.stdin.flush()
-    answered: list[float] = []
+    latencies_s: list[float] = []
     async with anyio.create_task_group() as group:
         for number in range(RELAYS):
-            group.start_soon(_relay, address, f"r{number}", answered)
+            group.start_soon(_run_relay, address, f"r{number}", latencies_s)
     keeper.stdin.write("\n")
     keeper.stdin.flush()
-    used, batches = (await anyio.to_thread.run_sync(keeper.stdout.readline)).split()
+    cpu_s, batches = (await anyio.to_thread.run_sync(keeper.stdout.readline)).split()
     keeper.stdin.close()
     keeper.wait()
-    answered.sort()
-    print(f"{len(answered)} of {REQUESTS} requests answered, {batches} batches")
-    print(f"median answer: {answered[len(answered) // 2] * 1000:.2f} ms")
-    print(f"processor time of the keeper: {float(used) / REQUESTS * 1000:.3f} ms each")
+    latencies_s.sort()
+    print(f"{len(latencies_s)} of {REQUESTS} requests answered, {batches} batches")
+    print(f"median answer: {latencies_s[len(latencies_s) // 2] * 1000:.2f} ms")
+    print(f"processor time of the keeper: {float(cpu_s) / REQUESTS * 1000:.3f} ms each")
 
 
 if __name__ == "__main__":
     if len(sys.argv) > 1 and ":" in sys.argv[1]:
-        anyio.run(_keeper, sys.argv[1])
+        anyio.run(_run_keeper, sys.argv[1])
     else:
         anyio.run(_measure)
--- a/tests/keeper/test_daemon.py
+++ b/tests/keeper/test_daemon.py
@@ -1,4 +1,4 @@
-"""A keeper as a real process, before a stand-in of the store."""
+"""Tests of a keeper as a real process, with a stand-in for the store."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from wisteriastair.platform.documents import VIEW_KEY
 from wisteriastair.standins.deployment import free_address
 
-LIMIT_S = 20.0
+TIMEOUT_S = 20.0
 
 
 def settings(tmp_path: Path, store: str) -> Path:
@@ -36,7 +36,9 @@
 
 
 @asynccontextmanager
-async def keeper(tmp_path: Path, store: str) -> AsyncIterator[subprocess.Popen[bytes]]:
+async def run_keeper(
+    tmp_path: Path, store: str
+) -> AsyncIterator[subprocess.Popen[bytes]]:
     process = subprocess.Popen(
         [sys.executable, "-m", "wisteriastair", "keeper"],
         env=os.environ | {"WISTERIASTAIR_BOOT": str(settings(tmp_path, store))},
@@ -49,24 +51,24 @@
         process.wait()
 
 
-async def until_listed(standin: StoreStandin, count: int) -> None:
+async def wait_for_writes(standin: StoreStandin, count: int) -> None:
     while len(standin.history) < count:
         await anyio.sleep(0.05)
 
 
-def test_reload_is_survived_and_stop_is_orderly(tmp_path: Path) -> None:
-    """The platform tells a keeper that its settings file has changed.
+def test_keeper_survives_a_reload_signal_and_stops_cleanly(tmp_path: Path) -> None:
+    """The platform signals a keeper that its settings file has changed.
 
-    A process that does not handle the signal dies of it, and takes a replica away.
+    The default action of the signal ends the process, and a replica would be lost.
     """
 
     async def main() -> None:
         async with (
             standin_store() as standin,
-            keeper(tmp_path, standin.address) as process,
+            run_keeper(tmp_path, standin.address) as process,
         ):
-            with anyio.fail_after(LIMIT_S):
-                await until_listed(standin, 1)
+            with anyio.fail_after(TIMEOUT_S):
+                await wait_for_writes(standin, 1)
                 process.send_signal(signal.SIGHUP)
                 await anyio.sleep(0.3)
                 assert process.poll() is None
@@ -81,19 +83,19 @@
     anyio.run(main)
 
 
-def test_view_is_proposed_again_after_a_lost_answer(tmp_path: Path) -> None:
-    """The first write of the view takes effect and its answer is lost.
+def test_view_is_written_once_despite_a_lost_response(tmp_path: Path) -> None:
+    """The first write of the view takes effect and its response is lost.
 
-    The keeper reads back what the store holds and goes on from that: the view is in the
-    store once, and no second one is written over it.
+    The keeper must continue from the value that it reads back from the store: the view
+    is written once, and no second view replaces it.
     """
 
     async def main() -> None:
         async with standin_store() as standin:
             standin.loses = 1
-            async with keeper(tmp_path, standin.address):
-                with anyio.fail_after(LIMIT_S):
-                    await until_listed(standin, 1)
+            async with run_keeper(tmp_path, standin.address):
+                with anyio.fail_after(TIMEOUT_S):
+                    await wait_for_writes(standin, 1)
                     await anyio.sleep(1.0)
             assert [event["key"] for event in standin.history] == [VIEW_KEY]
 
@@ -113,22 +115,22 @@
     assert b"ip" in done.stderr
 
 
-def test_reload_is_survived_while_a_process_starts(tmp_path: Path) -> None:
-    """The platform tells a keeper that its settings have changed, as soon as it runs.
+def test_starting_keeper_survives_a_reload_signal(tmp_path: Path) -> None:
+    """The platform signals changed settings as soon as the process runs.
 
-    The signal's default is to end the process, until the handler is there.  The
-    platform would start it again, but until then a replica is missing.
+    The default action of the signal, which is in force until the handler is installed,
+    ends the process.  A replica would be missing until the platform starts it again.
     """
 
     async def main() -> None:
         async with (
             standin_store() as standin,
-            keeper(tmp_path, standin.address) as process,
+            run_keeper(tmp_path, standin.address) as process,
         ):
-            with anyio.fail_after(LIMIT_S):
+            with anyio.fail_after(TIMEOUT_S):
                 await anyio.sleep(0.1)
                 process.send_signal(signal.SIGHUP)
-                await until_listed(standin, 1)
+                await wait_for_writes(standin, 1)
                 assert process.poll() is None
 
     anyio.run(main)
--- a/tests/keeper/test_documents.py
+++ b/tests/keeper/test_documents.py
@@ -1,4 +1,4 @@
-"""Documents remembered for relays that start while the store is away."""
+"""Tests of the documents cached for relays that start while the store is down."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from wisteriastair.keeper.documents import Documents
 
 
-def test_newest_revision_stays_and_comes_back(tmp_path: Path) -> None:
+def test_newest_revision_is_cached_and_reloaded(tmp_path: Path) -> None:
     """A watch reports an older change late; a restart reads the file.
 
-    If the older one won, relays that start during an outage would serve a
+    If the older document won, relays that start during an outage would use a
     configuration that the operators have replaced.
     """
     documents = Documents(str(tmp_path))
@@ -23,21 +23,21 @@
     documents.save(documents.encode())
     assert not documents.changed
 
-    again = Documents(str(tmp_path))
-    again.load()
-    assert sorted(again.all(), key=lambda d: d.key) == [
+    reloaded = Documents(str(tmp_path))
+    reloaded.load()
+    assert sorted(reloaded.all(), key=lambda d: d.key) == [
         Document("op/config", 7, b"new"),
         Document("servers/a", 6, b"a"),
     ]
 
 
-def test_damaged_file_is_left_out(tmp_path: Path) -> None:
+def test_damaged_file_is_ignored(tmp_path: Path) -> None:
     documents = Documents(str(tmp_path))
     documents.put(Document("op/config", 7, b"new"))
     data = bytearray(documents.encode())
     data[-1] ^= 1
     documents.save(bytes(data))
 
-    again = Documents(str(tmp_path))
-    again.load()
-    assert again.all() == []
+    reloaded = Documents(str(tmp_path))
+    reloaded.load()
+    assert reloaded.all() == []
--- a/tests/keeper/test_log.py
+++ b/tests/keeper/test_log.py
@@ -1,4 +1,4 @@
-"""The log on disk: torn ends, damage, rewriting, and identity of disks."""
+"""Tests of the log on disk: torn ends, damage, rewriting, and disk ids."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     return Entry(program, 60.0, {attempt: Attempt(10, False)}, turns)
 
 
-def written(folder: Path, *entries: Entry) -> Log:
+def write_log(folder: Path, *entries: Entry) -> Log:
     log = Log(str(folder))
     log.load(0.0)
     log.append(list(entries), None, 0.0)
@@ -23,13 +23,13 @@
     return log
 
 
-def newest(folder: Path) -> Path:
+def newest_segment(folder: Path) -> Path:
     """Return the newest segment that holds anything."""
     segments = [p for p in folder.iterdir() if p.name.startswith("ledger-")]
     return max(p for p in segments if p.stat().st_size > 0)
 
 
-def test_records_and_view_come_back(tmp_path: Path) -> None:
+def test_records_and_view_are_reloaded(tmp_path: Path) -> None:
     log = Log(str(tmp_path))
     log.load(0.0)
     view = View(3, (Member("k1", log.disk, "10.0.0.1:1", "d1"),))
@@ -46,14 +46,14 @@
     assert not loaded.damaged
 
 
-def test_torn_end_is_cut_and_stays_cut(tmp_path: Path) -> None:
-    """Power is lost while a record is written, twice.
+def test_torn_end_is_truncated_permanently(tmp_path: Path) -> None:
+    """Power is lost while a record is written, and the process restarts twice.
 
-    The caller of the torn record was told nothing.  The first restart cuts the end;
-    the second must neither lose the record before it nor take the cut for damage.
+    The torn record was not acknowledged.  The first restart truncates the file; the
+    second must neither lose the record before it nor report the torn end as damage.
     """
-    disk = written(tmp_path, entry("p1"), entry("p2")).disk
-    path = newest(tmp_path)
+    disk = write_log(tmp_path, entry("p1"), entry("p2")).disk
+    path = newest_segment(tmp_path)
     os.truncate(path, path.stat().st_size - 3)
 
     first = Log(str(tmp_path))
@@ -70,15 +70,15 @@
     assert second.disk == disk
 
 
-def test_damage_to_synced_records_makes_another_disk(tmp_path: Path) -> None:
+def test_damage_to_synced_records_changes_the_disk_id(tmp_path: Path) -> None:
     """A bit flips in a segment that was closed long ago.
 
-    What it held was acknowledged, so this instance can no longer vouch for it.  With a
-    new disk id the list of members counts it as empty and it copies from the others.
+    The damaged record was acknowledged, so this instance must not count as its replica.
+    With a new disk id it is treated as empty and copies from the other members.
     """
-    disk = written(tmp_path, entry("p1")).disk
-    damaged = newest(tmp_path)
-    written(tmp_path, entry("p2"))
+    disk = write_log(tmp_path, entry("p1")).disk
+    damaged = newest_segment(tmp_path)
+    write_log(tmp_path, entry("p2"))
     data = bytearray(damaged.read_bytes())
     data[-1] ^= 1
     damaged.write_bytes(bytes(data))
@@ -91,13 +91,13 @@
     assert [e.program for e in loaded.entries] == ["p2"]
 
 
-def test_an_empty_disk_gets_an_id_of_its_own(tmp_path: Path) -> None:
-    first = written(tmp_path / "a").disk
-    second = written(tmp_path / "b").disk
+def test_empty_disk_gets_a_new_id(tmp_path: Path) -> None:
+    first = write_log(tmp_path / "a").disk
+    second = write_log(tmp_path / "b").disk
     assert first and second and first != second
 
 
-def test_space_is_given_back_by_removing_the_oldest_segment(tmp_path: Path) -> None:
+def test_oldest_segment_is_removed_to_reclaim_space(tmp_path: Path) -> None:
     log = Log(str(tmp_path))
     log.load(0.0)
     log.append([entry("p1")], None, 0.0)
--- a/tests/keeper/test_storage.py
+++ b/tests/keeper/test_storage.py
@@ -1,4 +1,4 @@
-"""Batches on real files: space is bounded, a refusing disk acknowledges nothing."""
+"""Tests of storage with real files: disk space and failing writes."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from wisteriastair.keeper.storage import Storage
 from wisteriastair.nodemetrics import KeeperMetrics
 
-KEEP_S = 60.0
+RETENTION_S = 60.0
 
 
-class Bench:
-    """One keeper's core and disk, and what it answered."""
+class Harness:
+    """Core and disk of one keeper, and its replies."""
 
     def __init__(self, folder: Path) -> None:
         self.disk = Log(str(folder))
@@ -40,7 +40,7 @@
 
     async def write(self, program: str, attempt: str, now: float) -> WriteReply:
         turn = Turn(f"{program}-{attempt}", "", b"x" * 1000)
-        entry = Entry(program, KEEP_S, {attempt: Attempt(1, True)}, [turn])
+        entry = Entry(program, RETENTION_S, {attempt: Attempt(1, True)}, [turn])
         count = len(self.answers)
         self.now = now
         self.core.receive("r:1#a", Write(1, 1, entry), now)
@@ -52,76 +52,78 @@
         return reply
 
 
-def play(bench: Bench, story: Callable[[], Awaitable[None]]) -> None:
+def run_scenario(harness: Harness, scenario: Callable[[], Awaitable[None]]) -> None:
     async def main() -> None:
         async with anyio.create_task_group() as group:
-            group.start_soon(bench.storage.run, bench.send)
+            group.start_soon(harness.storage.run, harness.send)
             with anyio.fail_after(10):
-                await story()
+                await scenario()
             group.cancel_scope.cancel()
 
     anyio.run(main)
 
 
-def segments(folder: Path) -> int:
+def count_segments(folder: Path) -> int:
     return sum(path.name.startswith("ledger-") for path in folder.iterdir())
 
 
-def test_old_segments_go_and_living_accounts_stay(
+def test_old_segments_are_removed_and_live_accounts_stay(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A program lives on while others end; the disk must not fill up with those.
+    """A program continues while others end; the disk must not fill up with the latter.
 
-    The living one's first records lie in the oldest segment.  Its removal must not
-    lose them: the program may continue from its first turn at any time.
+    The first records of the live program are in the oldest segment.  Its removal must
+    not lose them: the program may continue from its first turn at any time.
     """
     monkeypatch.setattr("wisteriastair.keeper.log.SEGMENT_BYTES", 3_000)
-    bench = Bench(tmp_path)
+    harness = Harness(tmp_path)
 
-    async def story() -> None:
+    async def scenario() -> None:
         for number in range(12):
-            await bench.write("lives", f"a{number}", float(number))
-            await bench.write(f"ends{number}", "a", float(number))
-        full = segments(tmp_path)
-        assert full > 5
-        assert not await bench.storage.reclaim_space(30.0)
-        await bench.write("lives", "late", 70.0)
-        while await bench.storage.reclaim_space(90.0):
+            await harness.write("lives", f"a{number}", float(number))
+            await harness.write(f"ends{number}", "a", float(number))
+        full_count = count_segments(tmp_path)
+        assert full_count > 5
+        assert not await harness.storage.reclaim_space(30.0)
+        await harness.write("lives", "late", 70.0)
+        while await harness.storage.reclaim_space(90.0):
             pass
-        assert segments(tmp_path) < full / 2
+        assert count_segments(tmp_path) < full_count / 2
 
-    play(bench, story)
-    assert set(bench.core.ledger.accounts) == {"lives"}
-    bench.disk.close()
+    run_scenario(harness, scenario)
+    assert set(harness.core.ledger.accounts) == {"lives"}
+    harness.disk.close()
     loaded = Log(str(tmp_path)).load(0.0)
-    kept = {attempt for entry in loaded.entries for attempt in entry.attempts}
-    assert kept == {f"a{number}" for number in range(12)} | {"late"}
+    stored_attempts = {
+        attempt for entry in loaded.entries for attempt in entry.attempts
+    }
+    assert stored_attempts == {f"a{number}" for number in range(12)} | {"late"}
     assert {entry.program for entry in loaded.entries} == {"lives"}
 
 
-def test_a_refusing_disk_acknowledges_nothing_until_it_takes_it(
+def test_failed_write_is_acknowledged_only_after_a_retry(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The disk is full for a moment.
+    """The disk is full for a short time.
 
-    The first answer must be a refusal.  The same request sent again finds its records
+    The first reply must be a refusal.  The records of the repeated request are already
     in memory; it may only be acknowledged once they are on the disk as well.
     """
-    bench = Bench(tmp_path)
-    append = bench.disk.append
+    harness = Harness(tmp_path)
+    append = harness.disk.append
 
-    def refuses(*args: object) -> None:
+    def fail_write(*args: object) -> None:
         raise OSError(28, "No space left on device")
 
-    async def story() -> None:
-        monkeypatch.setattr(bench.disk, "append", refuses)
-        refused = await bench.write("p", "a", 1.0)
+    async def scenario() -> None:
+        monkeypatch.setattr(harness.disk, "append", fail_write)
+        refused = await harness.write("p", "a", 1.0)
         assert refused.verdict is Verdict.NOT_NOW
-        monkeypatch.setattr(bench.disk, "append", append)
-        taken = await bench.write("p", "a", 1.0)
-        assert taken.verdict is Verdict.DONE
+        monkeypatch.setattr(harness.disk, "append", append)
+        repeated = await harness.write("p", "a", 1.0)
+        assert repeated.verdict is Verdict.DONE
 
-    play(bench, story)
-    bench.disk.close()
+    run_scenario(harness, scenario)
+    harness.disk.close()
     loaded = Log(str(tmp_path)).load(0.0)
     assert loaded.entries[0].attempts == {"a": Attempt(1, True)}
--- a/wisteriastair/core/keeper.py
+++ b/wisteriastair/core/keeper.py
@@ -35,8 +35,8 @@
 # Interval of heartbeats between keepers.
 HEARTBEAT_INTERVAL_S: Final = 0.4
 NEVER: Final = -math.inf
-# View version in heartbeats of a member that does not report one.  It may not accept
-# heartbeats without a view either.
+# View version in heartbeats of a member that does not report one.  Such a member may
+# also require a view in the heartbeats that it receives.
 NO_VIEW_VERSION: Final = (0, 0)
 # A member counts as reachable for this time after its last heartbeat.
 REACHABLE_TIMEOUT_S: Final = 1.5
@@ -160,9 +160,9 @@
         match message:
             case Write() | Find():
                 self._on_request(sender, message, now)
-            case Spread(write, others, origin):
-                self._forward(write, others, origin or sender)
-                self._on_request(origin or sender, write, now)
+            case Spread(write, forward_to, reply_to):
+                self._forward(write, forward_to, reply_to or sender)
+                self._on_request(reply_to or sender, write, now)
             case Ping(disk, view, revision, stopping, view_version):
                 self._record_heartbeat(disk, stopping, now)
                 self._heartbeat_from[address_of(sender)] = now
@@ -190,10 +190,10 @@
         if disk not in _disks(self.view):
             self._discovered_at.setdefault(disk, now)
 
-    def _forward(self, write: Write, others: list[str], origin: str) -> None:
+    def _forward(self, write: Write, forward_to: list[str], reply_to: str) -> None:
         """Forward a write, accepted here or not: each replica checks it itself."""
-        for address in others:
-            self._outbox.append((address, Spread(write, [], origin)))
+        for address in forward_to:
+            self._outbox.append((address, Spread(write, [], reply_to)))
 
     def _on_request(self, sender: str, request: Write | Find, now: float) -> None:
         verdict = self._check_view(request.view)
@@ -238,8 +238,8 @@
         if number < self.view.number:
             self.stale_refused += 1
             return Verdict.STALE_VIEW
-        member = self.me in self.view.members or self.me in self.view.old
-        if number > self.view.number or not member:
+        is_member = self.me in self.view.members or self.me in self.view.old
+        if number > self.view.number or not is_member:
             return Verdict.NOT_NOW
         return Verdict.DONE
 
@@ -253,7 +253,7 @@
     # Batches
 
     def take_batch(self) -> Batch | None:
-        """Return and clear what waits for a sync, or None."""
+        """Return and clear the pending batch, or None if it is empty."""
         if (
             not self._unsynced_entries
             and not self._view_unsynced
@@ -429,12 +429,12 @@
         All members detect the need for a change at the same time.  If all of them wrote
         at once, every store call but one would be refused.
         """
-        before = [
+        predecessors = [
             member
             for member in self.view.members
             if member < self.me and self._is_reachable(member.disk, now)
         ]
-        return PROPOSAL_STAGGER_S * len(before)
+        return PROPOSAL_STAGGER_S * len(predecessors)
 
     # Copying
 
@@ -499,7 +499,7 @@
                 self._request_copy(source, now)
 
     def announce_stop(self, now: float) -> None:
-        """Notify the other members that this process stops, for a while or for good."""
+        """Notify the other members that this process stops, perhaps for good."""
         self._send_heartbeats(now, stopping=True)
 
     def _send_heartbeats(self, now: float, *, stopping: bool = False) -> None:
