--- a/tests/core/test_keeper.py
+++ b/tests/core/test_keeper.py
@@ -7,7 +7,7 @@
 from wisteriastair.core.ledgerwire import Ping, Verdict, Write, WriteReply
 from wisteriastair.core.membership import Member, View, next_view
 
-LOSSES = 1
+MAX_FAILURES = 1
 WRITE_OP = 10_000
 
 
@@ -19,13 +19,13 @@
         self.view = View()
         self.cores: dict[str, KeeperCore] = {}
         self.down: set[str] = set()
-        self.writes = 0
+        self.store_revision = 0
         for number in range(count):
             self.start(f"k{number}", "disk")
 
     def start(self, name: str, disk: str) -> KeeperCore:
         me = Member(name, f"{name}-{disk}", f"{name}:1", f"domain-{name}")
-        core = KeeperCore(me, LOSSES, view=View(), entries=[], now=self.now)
+        core = KeeperCore(me, MAX_FAILURES, view=View(), entries=[], now=self.now)
         self.cores[me.address] = core
         return core
 
@@ -37,14 +37,14 @@
                     self._run(core)
 
     def _run(self, core: KeeperCore) -> None:
-        core.adopt(self.view, self.now, self.writes)
+        core.adopt(self.view, self.now, self.store_revision)
         core.tick(self.now)
-        proposal = next_view(core.view, core.wishes(self.now), LOSSES)
+        proposal = next_view(core.view, core.wishes(self.now), MAX_FAILURES)
         if proposal is None and core.has_copied():
             proposal = core.view._replace(synced=(*core.view.synced, core.me.disk))
         if proposal is not None and core.view == self.view:
             self.view = proposal
-            self.writes += 1
+            self.store_revision += 1
         self.deliver(core)
 
     def deliver(self, core: KeeperCore) -> None:
@@ -215,11 +215,11 @@
     assert deployment.names() == ["k0", "k1"]
     assert deployment.view.old == ()
     assert deployment.write("q") == 2
-    newcomer = deployment.start("k9", "disk")
-    newcomer.retiring = frozenset({"k1"})
+    new_core = deployment.start("k9", "disk")
+    new_core.retiring = frozenset({"k1"})
     deployment.advance(4)
     assert deployment.names() == ["k0", "k9"]
-    assert len(newcomer.ledger.accounts) == 2
+    assert len(new_core.ledger.accounts) == 2
 
 
 def test_retiring_member_that_loses_its_disk_joins_again() -> None:
--- a/tests/core/test_keepers_model.py
+++ b/tests/core/test_keepers_model.py
@@ -5,7 +5,7 @@
 members, successors, additions, members that are emptied, disks lost at any step,
 members that are temporarily disconnected, and a platform store that does not answer.
 
-The environment respects the tolerance: at most `LOSSES` machines are lost at a time.  A
+The environment respects the tolerance: at most `MAX_FAILURES` machines are lost at a time.  A
 machine that was disconnected or lost its disk counts as lost until all changes have
 settled; a permanently lost one, until they have settled and its successor is a member.
 
@@ -37,7 +37,7 @@
     replica_sets,
 )
 
-LOSSES: Final = 1
+MAX_FAILURES: Final = 1
 SLOT: Final = 0
 MAX_STATES: Final = 3_000_000
 NAMES: Final = "abcdef"
@@ -117,7 +117,7 @@
 ) -> View | None:
     listed = {m.disk for m in (*view.members, *view.old)}
     wishes = Wishes(me, disks, frozenset(listed - disks), retiring)
-    found = propose(view, wishes, LOSSES)
+    found = propose(view, wishes, MAX_FAILURES)
     # No node has an old view here, so numbers have no effect.  Their growth would make
     # the state space infinite.
     return None if found is None else found._replace(number=0)
@@ -134,7 +134,7 @@
 
 @cache
 def copy_source_sets(view: View, me: Member) -> frozenset[ReplicaSet]:
-    found = (must_copy(view, me, slot, LOSSES) for slot in range(SLOTS))
+    found = (must_copy(view, me, slot, MAX_FAILURES) for slot in range(SLOTS))
     return frozenset(replicas for replicas in found if replicas is not None)
 
 
@@ -150,7 +150,7 @@
             continue
         synced = tuple(sorted((*state.view.synced, me.disk)))
         after = state._replace(view=state.view._replace(synced=synced))
-        source = must_copy(state.view, me, SLOT, LOSSES)
+        source = must_copy(state.view, me, SLOT, MAX_FAILURES)
         for has_record in _records_after_copy(node, source, by_disk):
             yield (
                 f"{me.disk} copies",
@@ -175,9 +175,9 @@
     if state.is_counted:
         return
     live = {node.member.disk: node for node in running(state)}
-    sets = replica_sets(state.view, SLOT, LOSSES)
+    sets = replica_sets(state.view, SLOT, MAX_FAILURES)
     disks = sorted({m.disk for s in sets for m in s.members} & live.keys())
-    for size in range(LOSSES + 1, len(disks) + 1):
+    for size in range(MAX_FAILURES + 1, len(disks) + 1):
         for quorum in combinations(disks, size):
             if not all(s.written(set(quorum)) for s in sets):
                 continue
@@ -218,7 +218,7 @@
 
 def loss_steps(state: SystemState) -> Iterator[tuple[str, SystemState]]:
     """Lose one more machine, if that is tolerated."""
-    if sum(node.counts_as_lost for node in state.nodes) >= LOSSES:
+    if sum(node.counts_as_lost for node in state.nodes) >= MAX_FAILURES:
         return
     for node in running(state):
         kinds = {
@@ -252,14 +252,14 @@
 def planned_steps(state: SystemState) -> Iterator[tuple[str, SystemState]]:
     """Add an instance, empty one, take an emptied one away, stop the store."""
     if _remaining(state, "additions"):
-        fresh = Node(NAMES[len(state.nodes)])
+        new_node = Node(NAMES[len(state.nodes)])
         yield (
-            "a newcomer",
-            consume_event(state._replace(nodes=(*state.nodes, fresh)), "additions"),
+            "an instance is added",
+            consume_event(state._replace(nodes=(*state.nodes, new_node)), "additions"),
         )
     if _remaining(state, "outages") and not state.store_unavailable:
         yield (
-            "the store is away",
+            "the store is unavailable",
             consume_event(state._replace(store_unavailable=True), "outages"),
         )
     if state.store_unavailable:
@@ -284,11 +284,11 @@
         node.liveness is Liveness.LOST and node.counts_as_lost for node in state.nodes
     )
     listed = {m.name for m in state.view.members}
-    newcomer_count = len(listed - set(NAMES[:INITIAL_MEMBERS]))
+    successor_count = len(listed - set(NAMES[:INITIAL_MEMBERS]))
     nodes = tuple(
         node._replace(
             counts_as_lost=node.counts_as_lost
-            and not _has_recovered(node, lost_count <= newcomer_count)
+            and not _has_recovered(node, lost_count <= successor_count)
         )
         for node in state.nodes
     )
@@ -317,7 +317,7 @@
     if not state.is_counted:
         return True
     without = {node.member.disk for node in running(state) if not node.has_record}
-    sets = replica_sets(state.view, SLOT, LOSSES)
+    sets = replica_sets(state.view, SLOT, MAX_FAILURES)
     return not all(replicas.readable(without) for replicas in sets)
 
 
@@ -327,13 +327,13 @@
     With t instances or fewer no list can hold t + 1 copies: writes wait for another.
     """
     staying = [node for node in running(state) if node.name not in state.retiring]
-    if len(staying) <= LOSSES or not settled(state, propose):
+    if len(staying) <= MAX_FAILURES or not settled(state, propose):
         return True
     live = {node.member.disk for node in running(state)}
     sets = [
         replicas
         for slot in range(SLOTS)
-        for replicas in replica_sets(state.view, slot, LOSSES)
+        for replicas in replica_sets(state.view, slot, MAX_FAILURES)
     ]
     return all(s.written(live) and s.readable(live) for s in sets)
 
@@ -345,7 +345,7 @@
     def invariant(fields: dict[str, Any]) -> bool:
         state = SystemState(**fields)
         assert record_is_seen(state), f"a record is missed: {state}"
-        assert is_served(state, propose), f"no quorum lives: {state}"
+        assert is_served(state, propose), f"no live quorum: {state}"
         return True
 
     protocol = Protocol(
@@ -412,7 +412,7 @@
 
 
 BROKEN: Final[dict[str, Propose]] = {
-    "no quorum lives": never_removes,
+    "no live quorum": never_removes,
     "a record is missed": ends_change_early,
 }
 
--- a/tests/core/test_ledger_model.py
+++ b/tests/core/test_ledger_model.py
@@ -26,7 +26,7 @@
     replica_sets,
 )
 
-LOSSES = 1
+MAX_FAILURES = 1
 SLOT = 0
 MAX_STATES = 3_000_000
 NAMES = ("a", "b", "c", "d")
@@ -106,7 +106,7 @@
 def _written(state: SystemState, number: int) -> bool:
     view = next(v for v in state.views if v.number == number)
     disks = set(state.accepted)
-    return all(s.written(disks) for s in replica_sets(view, SLOT, LOSSES))
+    return all(s.written(disks) for s in replica_sets(view, SLOT, MAX_FAILURES))
 
 
 def with_node(state: SystemState, index: int, node: Node) -> SystemState:
@@ -117,7 +117,7 @@
 
 @cache
 def proposal(propose: Any, view: View, wishes: Wishes) -> View | None:
-    found: View | None = propose(view, wishes, LOSSES)
+    found: View | None = propose(view, wishes, MAX_FAILURES)
     return found
 
 
@@ -126,11 +126,11 @@
     node = state.nodes[index]
     others = [m.disk for m in node.view.members if m.disk != node.disk]
     me = member(index, node.disk)
-    everyone = frozenset({*others, node.disk})
-    nobody: frozenset[str] = frozenset()
-    retiring = RETIRING if bounds.retiring else nobody
-    found = [Wishes(me, everyone, nobody, retiring)]
-    found += [Wishes(me, everyone, frozenset({one}), nobody) for one in others]
+    all_disks = frozenset({*others, node.disk})
+    no_disks: frozenset[str] = frozenset()
+    retiring = RETIRING if bounds.retiring else no_disks
+    found = [Wishes(me, all_disks, no_disks, retiring)]
+    found += [Wishes(me, all_disks, frozenset({one}), no_disks) for one in others]
     return found
 
 
@@ -143,9 +143,9 @@
     for view in views:
         for index, node in enumerate(state.nodes):
             me = member(index, node.disk)
-            known = rules.accepts(view.number, node.view.number)
+            accepts = rules.accepts(view.number, node.view.number)
             in_view = me in view.members or me in view.old
-            if not known or not in_view or node.disk in state.accepted:
+            if not accepts or not in_view or node.disk in state.accepted:
                 continue
             after = with_node(state, index, node._replace(has_record=True))
             accepted = state.accepted | {node.disk}
@@ -166,25 +166,25 @@
         steps.append((f"{node.disk} adopts", with_node(state, index, changed)))
         return steps
     for wishes in all_observations(state, index, rules.bounds):
-        wanted = proposal(rules.propose, state.store, wishes)
-        if wanted is not None and wanted.number <= rules.bounds.views:
-            after = state._replace(store=wanted, views=(*state.views, wanted))
-            steps.append((f"{node.disk} proposes {wanted}", after))
+        proposed = proposal(rules.propose, state.store, wishes)
+        if proposed is not None and proposed.number <= rules.bounds.views:
+            after = state._replace(store=proposed, views=(*state.views, proposed))
+            steps.append((f"{node.disk} proposes {proposed}", after))
     return steps
 
 
 def copy_steps(state: SystemState, index: int, rules: Rules) -> list[Any]:
     node = state.nodes[index]
     me = member(index, node.disk)
-    old = rules.copies_from(node.view, me, SLOT, LOSSES)
+    old = rules.copies_from(node.view, me, SLOT, MAX_FAILURES)
     if old is None:
         if node.view.old and me in node.view.members:
             return report_synced(state, index)
         return []
     steps = []
     for source in state.nodes:
-        same = source.view.number == node.view.number
-        if source.disk == node.disk or not same or source.disk in node.copied:
+        same_view = source.view.number == node.view.number
+        if source.disk == node.disk or not same_view or source.disk in node.copied:
             continue
         if any(source.disk == m.disk for m in old.members):
             changed = node._replace(
@@ -200,8 +200,8 @@
 
 def report_synced(state: SystemState, index: int) -> list[Any]:
     node = state.nodes[index]
-    known = node.view.number == state.store.number
-    if not known or node.disk in state.store.synced:
+    is_current = node.view.number == state.store.number
+    if not is_current or node.disk in state.store.synced:
         return []
     synced = tuple(sorted((*state.store.synced, node.disk)))
     after = state._replace(store=state.store._replace(synced=synced))
@@ -212,8 +212,8 @@
     node = state.nodes[index]
     steps = []
     if state.disk_losses < rules.bounds.disk_losses:
-        fresh = Node(f"{NAMES[index]}2", View(), False, frozenset())
-        after = with_node(state, index, fresh)._replace(
+        new_node = Node(f"{NAMES[index]}2", View(), False, frozenset())
+        after = with_node(state, index, new_node)._replace(
             disk_losses=state.disk_losses + 1
         )
         steps.append((f"{node.disk} is lost", after))
@@ -255,7 +255,7 @@
         for node in state.nodes
         if not node.has_record and node.view.number == view.number
     }
-    sets = replica_sets(view, SLOT, LOSSES)
+    sets = replica_sets(view, SLOT, MAX_FAILURES)
     return all(len(s.members) >= s.write and s.readable(without) for s in sets)
 
 
@@ -319,7 +319,7 @@
     """Require only a quorum of the new list during a change."""
     view = next(v for v in state.views if v.number == number)
     disks = set(state.accepted)
-    return replica_set(view.members, SLOT, LOSSES).written(disks)
+    return replica_set(view.members, SLOT, MAX_FAILURES).written(disks)
 
 
 BROKEN = {
--- a/tests/keeper/test_storage.py
+++ b/tests/keeper/test_storage.py
@@ -29,25 +29,25 @@
         view = View(1, (me,))
         self.core = KeeperCore(me, 0, view=view, entries=loaded.entries, now=0.0)
         self.storage = Storage(self.disk, self.core, KeeperMetrics(), self.clock)
-        self.answers: list[LedgerMessage] = []
+        self.replies: list[LedgerMessage] = []
         self.now = 0.0
 
     def clock(self) -> float:
         return self.now
 
     def send(self) -> None:
-        self.answers += [message for _, message in self.core.take_outbox()]
+        self.replies += [message for _, message in self.core.take_outbox()]
 
     async def write(self, program: str, attempt: str, now: float) -> WriteReply:
         turn = Turn(f"{program}-{attempt}", "", b"x" * 1000)
         entry = Entry(program, RETENTION_S, {attempt: Attempt(1, True)}, [turn])
-        count = len(self.answers)
+        count = len(self.replies)
         self.now = now
         self.core.receive("r:1#a", Write(1, 1, entry), now)
         self.storage.wake()
-        while len(self.answers) == count:
+        while len(self.replies) == count:
             await anyio.sleep(0.001)
-        reply = self.answers[-1]
+        reply = self.replies[-1]
         assert isinstance(reply, WriteReply)
         return reply
 
@@ -82,13 +82,13 @@
         for number in range(12):
             await harness.write("lives", f"a{number}", float(number))
             await harness.write(f"ends{number}", "a", float(number))
-        full_count = count_segments(tmp_path)
-        assert full_count > 5
+        initial_count = count_segments(tmp_path)
+        assert initial_count > 5
         assert not await harness.storage.reclaim_space(30.0)
         await harness.write("lives", "late", 70.0)
         while await harness.storage.reclaim_space(90.0):
             pass
-        assert count_segments(tmp_path) < full_count / 2
+        assert count_segments(tmp_path) < initial_count / 2
 
     run_scenario(harness, scenario)
     assert set(harness.core.ledger.accounts) == {"lives"}
--- a/wisteriastair/core/keeper.py
+++ b/wisteriastair/core/keeper.py
@@ -205,9 +205,9 @@
             self._outbox.append((sender, reply))
             return
         if isinstance(request, Write):
-            new = self.ledger.merge(request.entry, now)
-            if new is not None:
-                self._unsynced_entries.append(new)
+            new_records = self.ledger.merge(request.entry, now)
+            if new_records is not None:
+                self._unsynced_entries.append(new_records)
         self._requests.append((sender, request))
 
     def _on_permit_request(self, sender: str, request: AskPermit, now: float) -> None:
@@ -471,9 +471,9 @@
         if reply.verdict is not Verdict.DONE:
             return
         for entry in reply.entries:
-            new = self.ledger.merge(entry, now)
-            if new is not None:
-                self._unsynced_entries.append(new)
+            new_records = self.ledger.merge(entry, now)
+            if new_records is not None:
+                self._unsynced_entries.append(new_records)
         if reply.is_last:
             self._sources[reply.disk] = source._replace(done=True)
             self._copied_disks.add(reply.disk)
--- a/wisteriastair/core/ledger.py
+++ b/wisteriastair/core/ledger.py
@@ -140,12 +140,12 @@
         account = self.accounts.get(entry.program)
         if account is None:
             account = self.accounts[entry.program] = Account(entry.program, now)
-        new = account.merge(entry, now)
-        if new is not None:
-            self.turn_bytes += sum(len(turn.said) for turn in new.turns)
-            for turn in new.turns:
+        new_records = account.merge(entry, now)
+        if new_records is not None:
+            self.turn_bytes += sum(len(turn.said) for turn in new_records.turns)
+            for turn in new_records.turns:
                 self._account_of_turn.setdefault(turn.id, account)
-        return new
+        return new_records
 
     def find(self, turn_id: str) -> FoundChain:
         """Return the stored part of a chain, and the program that it belongs to.
@@ -170,7 +170,10 @@
         return [account.program for account in expired]
 
     def longest_retention_s(self) -> float:
-        """Return the seconds after which each current record is renewed or expired."""
+        """Return the longest retention of all accounts, in seconds.
+
+        A record older than this belongs to an account that was used again or expired.
+        """
         keep_s = max((a.keep_s for a in self.accounts.values()), default=0.0)
         return keep_s + RETENTION_SLACK_S
 
--- a/wisteriastair/core/membership.py
+++ b/wisteriastair/core/membership.py
@@ -202,7 +202,7 @@
 
     An unresponsive member is removed whatever the size of the list.  If a permanently
     lost member stayed in a list of 2t + 1 or fewer, the next lost disk would leave the
-    list without a quorum for ever, and every turn would be refused.  The remaining
+    list without a quorum permanently, and every turn would be refused.  The remaining
     members copy before the change ends and then reply alone, so that a single one of
     them is enough to read every record that counted.
 
