--- a/tests/core/test_keepers_model.py
+++ b/tests/core/test_keepers_model.py
@@ -5,9 +5,10 @@
 members, successors, additions, members that are emptied, disks lost at any step,
 members that are temporarily disconnected, and a platform store that does not answer.
 
-The environment respects the tolerance: at most `MAX_FAILURES` machines are lost at a time.  A
-machine that was disconnected or lost its disk counts as lost until all changes have
-settled; a permanently lost one, until they have settled and its successor is a member.
+The environment respects the tolerance: at most `MAX_FAILURES` machines are lost at a
+time.  A machine that was disconnected or lost its disk counts as lost until all changes
+have settled; a permanently lost one, until they have settled and its successor is a
+member.
 
 A record that counted must be seen by every read quorum at every step.  Whenever all
 changes have settled, the live members must contain quorums of the list: a list without
