--- a/tests/core/test_keeper.py
+++ b/tests/core/test_keeper.py
@@ -4,7 +4,7 @@
 
 from wisteriastair.core.keeper import KeeperCore
 from wisteriastair.core.ledger import Attempt, Entry, Turn
-from wisteriastair.core.ledgerwire import Ping, Verdict, Write, WriteReply
+from wisteriastair.core.ledgerwire import Ping, ReplyStatus, Write, WriteReply
 from wisteriastair.core.membership import Member, View, next_view
 
 MAX_FAILURES = 1
@@ -39,7 +39,7 @@
     def _run(self, core: KeeperCore) -> None:
         core.adopt(self.view, self.now, self.store_revision)
         core.tick(self.now)
-        proposal = next_view(core.view, core.wishes(self.now), MAX_FAILURES)
+        proposal = next_view(core.view, core.observation(self.now), MAX_FAILURES)
         if proposal is None and core.has_copied():
             proposal = core.view._replace(synced=(*core.view.synced, core.me.disk))
         if proposal is not None and core.view == self.view:
@@ -48,10 +48,10 @@
         self.deliver(core)
 
     def deliver(self, core: KeeperCore) -> None:
-        batch = core.take_batch()
+        batch = core.next_batch()
         if batch is not None:
-            core.synced(batch)
-        for to, message in core.take_outbox():
+            core.on_synced(batch)
+        for to, message in core.drain_outbox():
             target = self.cores.get(to.partition("#")[0])
             if target is not None and to.partition("#")[0] not in self.down:
                 target.receive(core.me.address, message, self.now)
@@ -66,12 +66,12 @@
             core.receive(
                 "relay:1#a", Write(WRITE_OP, self.view.number, entry), self.now
             )
-            batch = core.take_batch()
+            batch = core.next_batch()
             if batch is not None:
-                core.synced(batch)
-            for _, reply in core.take_outbox():
+                core.on_synced(batch)
+            for _, reply in core.drain_outbox():
                 if isinstance(reply, WriteReply) and reply.op == WRITE_OP:
-                    synced_count += reply.verdict is Verdict.DONE
+                    synced_count += reply.status is ReplyStatus.DONE
         return synced_count
 
     def names(self) -> list[str]:
@@ -141,7 +141,7 @@
     deployment.down = {"k0:1", "k1:1", "k2:1"}
     deployment.advance(10)
     assert len(deployment.view.members) == 4
-    assert isolated.wishes(deployment.now).unresponsive
+    assert isolated.observation(deployment.now).unresponsive
 
 
 def test_retired_instance_leaves_without_loss_of_records() -> None:
@@ -262,10 +262,10 @@
     core = deployment.cores["k0:1"]
     entry = Entry("p", 60.0, {"a": Attempt(1, False)})
     core.receive("relay:1#a", Write(1, deployment.view.number - 1, entry), 9.0)
-    (to, reply), *_ = core.take_outbox()
+    (to, reply), *_ = core.drain_outbox()
     assert to == "relay:1#a"
     assert isinstance(reply, WriteReply)
-    assert reply.verdict is Verdict.STALE_VIEW
+    assert reply.status is ReplyStatus.STALE_VIEW
     assert reply.view == core.view
     assert "p" not in core.ledger.accounts
 
@@ -292,7 +292,7 @@
     deployment.advance(5)
     first, second, _ = deployment.cores.values()
     changed = View(first.view.number + 1, first.view.members, first.view.members)
-    first.take_outbox()
+    first.drain_outbox()
     first.adopt(changed, deployment.now, 99)
     first.tick(deployment.now)
     deployment.deliver(first)
@@ -314,15 +314,20 @@
         turn = Turn(f"t{number}", "", b"x" * 1_000)
         entry = Entry("p", 60.0, {f"a{number}": Attempt(1, True)}, [turn])
         core.receive("r:1#a", Write(number, 1, entry), 0.0)
-        batch = core.take_batch()
+        batch = core.next_batch()
         if batch is not None:
-            core.synced(batch)
-        (_, reply), *_ = core.take_outbox()
+            core.on_synced(batch)
+        (_, reply), *_ = core.drain_outbox()
         assert isinstance(reply, WriteReply)
-        verdicts.append(reply.verdict)
-    assert verdicts == [Verdict.DONE, Verdict.DONE, Verdict.NOT_NOW, Verdict.NOT_NOW]
+        verdicts.append(reply.status)
+    assert verdicts == [
+        ReplyStatus.DONE,
+        ReplyStatus.DONE,
+        ReplyStatus.UNAVAILABLE,
+        ReplyStatus.UNAVAILABLE,
+    ]
     core.receive("r:1#a", Write(9, 1, Entry("q", 60.0, {"b": Attempt(1, True)})), 0.0)
-    assert core.take_batch() is not None
+    assert core.next_batch() is not None
 
 
 def test_heartbeats_contain_the_view_only_for_members_without_it() -> None:
@@ -334,9 +339,9 @@
     deployment = Deployment(5)
     deployment.advance(3.0)
     core = deployment.cores["k0:1"]
-    core.take_outbox()
+    core.drain_outbox()
     core.tick(deployment.now + 1.0)
-    pings = [m for _, m in core.take_outbox() if isinstance(m, Ping)]
+    pings = [m for _, m in core.drain_outbox() if isinstance(m, Ping)]
     assert len(pings) == 4 and all(ping.view is None for ping in pings)
     deployment.start("k3", "other-disk")
     deployment.advance(3.0)
@@ -345,5 +350,5 @@
     old_ping = Ping("old-version", View(), 0)
     core.receive("k9:1", old_ping, deployment.now)
     core.tick(deployment.now + 1.0)
-    sent = [m for to, m in core.take_outbox() if to == "k9:1" and isinstance(m, Ping)]
+    sent = [m for to, m in core.drain_outbox() if to == "k9:1" and isinstance(m, Ping)]
     assert sent and all(ping.view == core.view for ping in sent)
--- a/tests/core/test_keepers_model.py
+++ b/tests/core/test_keepers_model.py
@@ -30,10 +30,10 @@
 from wisteriastair.core.membership import (
     SLOTS,
     Member,
+    MembershipObservation,
     ReplicaSet,
     View,
-    Wishes,
-    must_copy,
+    copy_sources,
     next_view,
     replica_sets,
 )
@@ -42,7 +42,7 @@
 SLOT: Final = 0
 MAX_STATES: Final = 3_000_000
 NAMES: Final = "abcdef"
-Propose = Callable[[View, Wishes, int], View | None]
+Propose = Callable[[View, MembershipObservation, int], View | None]
 
 
 class Liveness(Enum):
@@ -117,8 +117,8 @@
     retiring: frozenset[str],
 ) -> View | None:
     listed = {m.disk for m in (*view.members, *view.old)}
-    wishes = Wishes(me, disks, frozenset(listed - disks), retiring)
-    found = propose(view, wishes, MAX_FAILURES)
+    observation = MembershipObservation(me, disks, frozenset(listed - disks), retiring)
+    found = propose(view, observation, MAX_FAILURES)
     # No node has an old view here, so numbers have no effect.  Their growth would make
     # the state space infinite.
     return None if found is None else found._replace(number=0)
@@ -135,7 +135,7 @@
 
 @cache
 def copy_source_sets(view: View, me: Member) -> frozenset[ReplicaSet]:
-    found = (must_copy(view, me, slot, MAX_FAILURES) for slot in range(SLOTS))
+    found = (copy_sources(view, me, slot, MAX_FAILURES) for slot in range(SLOTS))
     return frozenset(replicas for replicas in found if replicas is not None)
 
 
@@ -147,11 +147,11 @@
         wanted = copy_source_sets(state.view, me)
         if not wanted or me.disk in state.view.synced:
             continue
-        if not all(replicas.readable(set(by_disk)) for replicas in wanted):
+        if not all(replicas.has_read_quorum(set(by_disk)) for replicas in wanted):
             continue
         synced = tuple(sorted((*state.view.synced, me.disk)))
         after = state._replace(view=state.view._replace(synced=synced))
-        source = must_copy(state.view, me, SLOT, MAX_FAILURES)
+        source = copy_sources(state.view, me, SLOT, MAX_FAILURES)
         for has_record in _records_after_copy(node, source, by_disk):
             yield (
                 f"{me.disk} copies",
@@ -180,7 +180,7 @@
     disks = sorted({m.disk for s in sets for m in s.members} & live.keys())
     for size in range(MAX_FAILURES + 1, len(disks) + 1):
         for quorum in combinations(disks, size):
-            if not all(s.written(set(quorum)) for s in sets):
+            if not all(s.has_write_quorum(set(quorum)) for s in sets):
                 continue
             after = state._replace(is_counted=True)
             for disk in quorum:
@@ -319,7 +319,7 @@
         return True
     without = {node.member.disk for node in running(state) if not node.has_record}
     sets = replica_sets(state.view, SLOT, MAX_FAILURES)
-    return not all(replicas.readable(without) for replicas in sets)
+    return not all(replicas.has_read_quorum(without) for replicas in sets)
 
 
 def is_served(state: SystemState, propose: Propose) -> bool:
@@ -336,7 +336,7 @@
         for slot in range(SLOTS)
         for replicas in replica_sets(state.view, slot, MAX_FAILURES)
     ]
-    return all(s.written(live) and s.readable(live) for s in sets)
+    return all(s.has_write_quorum(live) and s.has_read_quorum(live) for s in sets)
 
 
 INITIAL_MEMBERS: Final = 3
@@ -398,18 +398,22 @@
     assert all(outcome["holds"] for outcome in result["properties"].values())
 
 
-def never_removes(view: View, wishes: Wishes, max_failures: int) -> View | None:
+def never_removes(
+    view: View, observation: MembershipObservation, max_failures: int
+) -> View | None:
     """Leave an unresponsive member in a list of at most 2t + 1."""
     if len(view.members) <= 2 * max_failures + 1:
-        wishes = wishes._replace(unresponsive=frozenset())
-    return next_view(view, wishes, max_failures)
+        observation = observation._replace(unresponsive=frozenset())
+    return next_view(view, observation, max_failures)
 
 
-def ends_change_early(view: View, wishes: Wishes, max_failures: int) -> View | None:
+def ends_change_early(
+    view: View, observation: MembershipObservation, max_failures: int
+) -> View | None:
     """End a change before the remaining members have copied."""
     if view.old:
         return View(view.number + 1, view.members)
-    return next_view(view, wishes, max_failures)
+    return next_view(view, observation, max_failures)
 
 
 BROKEN: Final[dict[str, Propose]] = {
--- a/tests/core/test_ledger.py
+++ b/tests/core/test_ledger.py
@@ -11,7 +11,7 @@
     Ledger,
     Turn,
     fits_budget,
-    merged_attempts,
+    merge_attempts,
 )
 
 
@@ -55,16 +55,16 @@
 def test_chain_contains_only_stored_turns() -> None:
     account = Account("p", 0.0)
     account.merge(settle("t2", 1, Turn("t2", "t1", b"2")), 0.0)
-    assert [turn.said for turn in account.chain("t2")] == [b"2"]
-    assert account.chain("t2")[0].previous == "t1"
+    assert [turn.content for turn in account.chain("t2")] == [b"2"]
+    assert account.chain("t2")[0].previous_id == "t1"
     assert account.chain("t1") == []
     account.merge(settle("t1", 1, Turn("t1", "", b"1")), 0.0)
-    assert [turn.said for turn in account.chain("t2")] == [b"1", b"2"]
+    assert [turn.content for turn in account.chain("t2")] == [b"1", b"2"]
     assert account.chain("t3") == []
 
 
 def test_budget_counts_reservations_at_their_maximum() -> None:
-    attempts = merged_attempts(
+    attempts = merge_attempts(
         [
             {"a": Attempt(500, False), "b": Attempt(500, False)},
             {"a": Attempt(100, True), "mine": Attempt(500, False)},
--- a/tests/core/test_ledger_model.py
+++ b/tests/core/test_ledger_model.py
@@ -18,9 +18,9 @@
 
 from wisteriastair.core.membership import (
     Member,
+    MembershipObservation,
     View,
-    Wishes,
-    must_copy,
+    copy_sources,
     next_view,
     replica_set,
     replica_sets,
@@ -79,8 +79,8 @@
     """The decisions under test; each broken variant replaces one of them."""
 
     bounds: Bounds = NEW_MEMBER
-    propose: Callable[[View, Wishes, int], View | None] = next_view
-    copies_from: Callable[..., Any] = must_copy
+    propose: Callable[[View, MembershipObservation, int], View | None] = next_view
+    copies_from: Callable[..., Any] = copy_sources
     accepts: Callable[[int, int], bool] = lambda write_view, known: write_view == known
     counts: Callable[[SystemState, int], bool] = lambda state, number: _written(
         state, number
@@ -106,7 +106,9 @@
 def _written(state: SystemState, number: int) -> bool:
     view = next(v for v in state.views if v.number == number)
     disks = set(state.accepted)
-    return all(s.written(disks) for s in replica_sets(view, SLOT, MAX_FAILURES))
+    return all(
+        s.has_write_quorum(disks) for s in replica_sets(view, SLOT, MAX_FAILURES)
+    )
 
 
 def with_node(state: SystemState, index: int, node: Node) -> SystemState:
@@ -116,12 +118,16 @@
 
 
 @cache
-def proposal(propose: Any, view: View, wishes: Wishes) -> View | None:
-    found: View | None = propose(view, wishes, MAX_FAILURES)
+def proposal(
+    propose: Any, view: View, observation: MembershipObservation
+) -> View | None:
+    found: View | None = propose(view, observation, MAX_FAILURES)
     return found
 
 
-def all_observations(state: SystemState, index: int, bounds: Bounds) -> list[Wishes]:
+def all_observations(
+    state: SystemState, index: int, bounds: Bounds
+) -> list[MembershipObservation]:
     """Return all inputs that an instance may have for its decision."""
     node = state.nodes[index]
     others = [m.disk for m in node.view.members if m.disk != node.disk]
@@ -129,8 +135,11 @@
     all_disks = frozenset({*others, node.disk})
     no_disks: frozenset[str] = frozenset()
     retiring = RETIRING if bounds.retiring else no_disks
-    found = [Wishes(me, all_disks, no_disks, retiring)]
-    found += [Wishes(me, all_disks, frozenset({one}), no_disks) for one in others]
+    found = [MembershipObservation(me, all_disks, no_disks, retiring)]
+    found += [
+        MembershipObservation(me, all_disks, frozenset({one}), no_disks)
+        for one in others
+    ]
     return found
 
 
@@ -165,8 +174,8 @@
         )
         steps.append((f"{node.disk} adopts", with_node(state, index, changed)))
         return steps
-    for wishes in all_observations(state, index, rules.bounds):
-        proposed = proposal(rules.propose, state.store, wishes)
+    for observation in all_observations(state, index, rules.bounds):
+        proposed = proposal(rules.propose, state.store, observation)
         if proposed is not None and proposed.number <= rules.bounds.views:
             after = state._replace(store=proposed, views=(*state.views, proposed))
             steps.append((f"{node.disk} proposes {proposed}", after))
@@ -193,7 +202,7 @@
             )
             label = f"{node.disk} copies {source.disk}"
             steps.append((label, with_node(state, index, changed)))
-    if old.readable({*node.copied, node.disk}):
+    if old.has_read_quorum({*node.copied, node.disk}):
         steps += report_synced(state, index)
     return steps
 
@@ -256,7 +265,7 @@
         if not node.has_record and node.view.number == view.number
     }
     sets = replica_sets(view, SLOT, MAX_FAILURES)
-    return all(len(s.members) >= s.write and s.readable(without) for s in sets)
+    return all(len(s.members) >= s.write and s.has_read_quorum(without) for s in sets)
 
 
 class InvariantViolated(Exception):
@@ -293,20 +302,24 @@
     assert all(outcome["holds"] for outcome in result["properties"].values())
 
 
-def without_joint_view(view: View, wishes: Wishes, losses: int) -> View | None:
+def without_joint_view(
+    view: View, observation: MembershipObservation, max_failures: int
+) -> View | None:
     """Change the members without a joint view."""
-    found = next_view(view, wishes, losses)
+    found = next_view(view, observation, max_failures)
     return None if found is None else found._replace(old=())
 
 
-def ends_change_early(view: View, wishes: Wishes, losses: int) -> View | None:
+def ends_change_early(
+    view: View, observation: MembershipObservation, max_failures: int
+) -> View | None:
     """End a change before the new replicas have copied."""
     if view.old:
         return View(view.number + 1, view.members)
-    return next_view(view, wishes, losses)
+    return next_view(view, observation, max_failures)
 
 
-def never_copies(view: View, me: Member, slot: int, losses: int) -> None:
+def never_copies(view: View, me: Member, slot: int, max_failures: int) -> None:
     return None
 
 
@@ -319,7 +332,7 @@
     """Require only a quorum of the new list during a change."""
     view = next(v for v in state.views if v.number == number)
     disks = set(state.accepted)
-    return replica_set(view.members, SLOT, MAX_FAILURES).written(disks)
+    return replica_set(view.members, SLOT, MAX_FAILURES).has_write_quorum(disks)
 
 
 BROKEN = {
--- a/tests/keeper/test_daemon.py
+++ b/tests/keeper/test_daemon.py
@@ -92,7 +92,7 @@
 
     async def main() -> None:
         async with standin_store() as standin:
-            standin.loses = 1
+            standin.responses_to_drop = 1
             async with run_keeper(tmp_path, standin.address):
                 with anyio.fail_after(TIMEOUT_S):
                     await wait_for_writes(standin, 1)
--- a/tests/keeper/test_storage.py
+++ b/tests/keeper/test_storage.py
@@ -10,7 +10,7 @@
 
 from wisteriastair.core.keeper import KeeperCore
 from wisteriastair.core.ledger import Attempt, Entry, Turn
-from wisteriastair.core.ledgerwire import LedgerMessage, Verdict, Write, WriteReply
+from wisteriastair.core.ledgerwire import LedgerMessage, ReplyStatus, Write, WriteReply
 from wisteriastair.core.membership import Member, View
 from wisteriastair.keeper.log import Log
 from wisteriastair.keeper.storage import Storage
@@ -36,7 +36,7 @@
         return self.now
 
     def send(self) -> None:
-        self.replies += [message for _, message in self.core.take_outbox()]
+        self.replies += [message for _, message in self.core.drain_outbox()]
 
     async def write(self, program: str, attempt: str, now: float) -> WriteReply:
         turn = Turn(f"{program}-{attempt}", "", b"x" * 1000)
@@ -118,10 +118,10 @@
     async def scenario() -> None:
         monkeypatch.setattr(harness.disk, "append", fail_write)
         refused = await harness.write("p", "a", 1.0)
-        assert refused.verdict is Verdict.NOT_NOW
+        assert refused.status is ReplyStatus.UNAVAILABLE
         monkeypatch.setattr(harness.disk, "append", append)
         repeated = await harness.write("p", "a", 1.0)
-        assert repeated.verdict is Verdict.DONE
+        assert repeated.status is ReplyStatus.DONE
 
     run_scenario(harness, scenario)
     harness.disk.close()
--- a/wisteriastair/core/keeper.py
+++ b/wisteriastair/core/keeper.py
@@ -1,7 +1,7 @@
 """State machine of one keeper of the ledger, without I/O.
 
 The daemon passes in messages and the time, writes batches to disk, and sends the
-messages that `take_outbox` returns.  Each reply waits until its batch is synced, so
+messages that `drain_outbox` returns.  Each reply waits until its batch is synced, so
 that acknowledged records survive a power loss.  Views are part of batches as well: a
 replica that lost its adopted view in a restart would accept writes under an older view
 after a new replica had copied from it.
@@ -17,20 +17,27 @@
 from .hashing import address_of
 from .ledger import Attempt, Entry, Ledger
 from .ledgerwire import (
-    AskPermit,
     CopyReply,
     CopyRequest,
-    Find,
+    FanOutWrite,
+    FindChain,
     LedgerMessage,
     PermitReply,
+    PermitRequest,
     Ping,
-    Spread,
-    Verdict,
+    ReplyStatus,
     Write,
     WriteReply,
 )
-from .membership import SLOTS, Member, View, Wishes, must_copy, slot_of_program
-from .quota import Answer, Permit, QuotaBounds, QuotaHolder
+from .membership import (
+    SLOTS,
+    Member,
+    MembershipObservation,
+    View,
+    copy_sources,
+    slot_of_program,
+)
+from .quota import Permit, PermitStatus, QuotaBounds, QuotaHolder
 
 # Interval of heartbeats between keepers.
 HEARTBEAT_INTERVAL_S: Final = 0.4
@@ -60,7 +67,7 @@
 DEFAULT_QUOTA_BOUNDS: Final = QuotaBounds()
 
 
-Request = Write | Find | CopyRequest
+Request = Write | FindChain | CopyRequest
 
 
 class Batch(NamedTuple):
@@ -89,7 +96,7 @@
     ----------
     me : Member
         This instance and its disk.
-    losses : int
+    max_failures : int
         Number of members that may fail at the same time.
     view : View
         The newest view on the disk.
@@ -108,7 +115,7 @@
     def __init__(
         self,
         me: Member,
-        losses: int,
+        max_failures: int,
         *,
         view: View,
         entries: list[Entry],
@@ -124,7 +131,7 @@
         self.retiring: frozenset[str] = frozenset()
         self.stale_refused = 0
         self.batches_synced = 0
-        self._losses = losses
+        self._max_failures = max_failures
         self._max_turn_bytes = max_turn_bytes
         self._started_at = now
         # By disk: time of the last heartbeat, of the addition to the view, and of the
@@ -158,9 +165,9 @@
     def receive(self, sender: str, message: LedgerMessage, now: float) -> None:
         """Handle a message; replies appear in a batch or in the outbox."""
         match message:
-            case Write() | Find():
+            case Write() | FindChain():
                 self._on_request(sender, message, now)
-            case Spread(write, forward_to, reply_to):
+            case FanOutWrite(write, forward_to, reply_to):
                 self._forward(write, forward_to, reply_to or sender)
                 self._on_request(reply_to or sender, write, now)
             case Ping(disk, view, revision, stopping, view_version):
@@ -171,7 +178,7 @@
                     self.adopt(view, now, revision)
                 elif view_version == self._view_version:
                     self.view_revision = max(self.view_revision, revision)
-            case AskPermit():
+            case PermitRequest():
                 self._on_permit_request(sender, message, now)
             case CopyRequest():
                 self._on_copy_request(sender, message)
@@ -193,15 +200,15 @@
     def _forward(self, write: Write, forward_to: list[str], reply_to: str) -> None:
         """Forward a write, accepted here or not: each replica checks it itself."""
         for address in forward_to:
-            self._outbox.append((address, Spread(write, [], reply_to)))
-
-    def _on_request(self, sender: str, request: Write | Find, now: float) -> None:
-        verdict = self._check_view(request.view)
-        if verdict is Verdict.DONE and self._exceeds_capacity(request):
-            verdict = Verdict.NOT_NOW
-        if verdict is not Verdict.DONE:
-            view = self.view if verdict is Verdict.STALE_VIEW else None
-            reply = WriteReply(request.op, self.me.disk, verdict, view=view)
+            self._outbox.append((address, FanOutWrite(write, [], reply_to)))
+
+    def _on_request(self, sender: str, request: Write | FindChain, now: float) -> None:
+        status = self._check_view(request.view)
+        if status is ReplyStatus.DONE and self._exceeds_capacity(request):
+            status = ReplyStatus.UNAVAILABLE
+        if status is not ReplyStatus.DONE:
+            view = self.view if status is ReplyStatus.STALE_VIEW else None
+            reply = WriteReply(request.op, self.me.disk, status, view=view)
             self._outbox.append((sender, reply))
             return
         if isinstance(request, Write):
@@ -210,16 +217,22 @@
                 self._unsynced_entries.append(new_records)
         self._requests.append((sender, request))
 
-    def _on_permit_request(self, sender: str, request: AskPermit, now: float) -> None:
+    def _on_permit_request(
+        self, sender: str, request: PermitRequest, now: float
+    ) -> None:
         """Answer a request for a permit.
 
         A member that cannot reach most others may have been replaced as a quota holder
         without being notified; its permits would add to those of its successor.
         """
-        permit = Permit(Answer.NOT_MINE)
+        permit = Permit(PermitStatus.NOT_HOLDER)
         if self._reaches_majority(now):
             permit = self.quota.ask(
-                request.customer, request.program, request.kind, request.ahead, now
+                request.customer,
+                request.program,
+                request.kind,
+                request.allow_delayed,
+                now,
             )
         self._outbox.append((sender, PermitReply(request.op, permit)))
 
@@ -228,31 +241,31 @@
         reachable = sum(self._is_reachable(member.disk, now) for member in members)
         return 2 * reachable > len(members)
 
-    def _exceeds_capacity(self, request: Write | Find) -> bool:
+    def _exceeds_capacity(self, request: Write | FindChain) -> bool:
         if not isinstance(request, Write) or not request.entry.turns:
             return False
-        size = sum(len(turn.said) for turn in request.entry.turns)
+        size = sum(len(turn.content) for turn in request.entry.turns)
         return self.ledger.turn_bytes + size > self._max_turn_bytes
 
-    def _check_view(self, number: int) -> Verdict:
+    def _check_view(self, number: int) -> ReplyStatus:
         if number < self.view.number:
             self.stale_refused += 1
-            return Verdict.STALE_VIEW
+            return ReplyStatus.STALE_VIEW
         is_member = self.me in self.view.members or self.me in self.view.old
         if number > self.view.number or not is_member:
-            return Verdict.NOT_NOW
-        return Verdict.DONE
+            return ReplyStatus.UNAVAILABLE
+        return ReplyStatus.DONE
 
     def _on_copy_request(self, sender: str, request: CopyRequest) -> None:
-        if self._check_view(request.view) is Verdict.DONE:
+        if self._check_view(request.view) is ReplyStatus.DONE:
             self._requests.append((sender, request))
             return
-        reply = CopyReply(request.op, self.me.disk, Verdict.NOT_NOW)
+        reply = CopyReply(request.op, self.me.disk, ReplyStatus.UNAVAILABLE)
         self._outbox.append((sender, reply))
 
     # Batches
 
-    def take_batch(self) -> Batch | None:
+    def next_batch(self) -> Batch | None:
         """Return and clear the pending batch, or None if it is empty."""
         if (
             not self._unsynced_entries
@@ -268,7 +281,7 @@
         self._syncing = True
         return batch
 
-    def synced(self, batch: Batch) -> None:
+    def on_synced(self, batch: Batch) -> None:
         """Answer the requests of a batch that is now durable."""
         self._syncing = False
         self.batches_synced += 1
@@ -290,32 +303,32 @@
         for sender, request in batch.requests:
             if isinstance(request, CopyRequest):
                 refusal: LedgerMessage = CopyReply(
-                    request.op, self.me.disk, Verdict.NOT_NOW
+                    request.op, self.me.disk, ReplyStatus.UNAVAILABLE
                 )
             else:
-                refusal = WriteReply(request.op, self.me.disk, Verdict.NOT_NOW)
+                refusal = WriteReply(request.op, self.me.disk, ReplyStatus.UNAVAILABLE)
             self._outbox.append((sender, refusal))
 
-    def take_outbox(self) -> list[tuple[str, LedgerMessage]]:
+    def drain_outbox(self) -> list[tuple[str, LedgerMessage]]:
         """Return and clear the messages to send."""
         outbox = self._outbox
         self._outbox = []
         return outbox
 
-    def _make_reply(self, request: Write | Find) -> WriteReply:
+    def _make_reply(self, request: Write | FindChain) -> WriteReply:
         attempts: dict[str, Attempt] = {}
         if isinstance(request, Write):
             account = self.ledger.accounts.get(request.entry.program)
             attempts = {} if account is None else dict(account.attempts)
-        home, chain = self.ledger.find(request.last_turn_id)
+        chain_program, chain = self.ledger.find(request.last_turn_id)
         return WriteReply(
             request.op,
             self.me.disk,
-            Verdict.DONE,
+            ReplyStatus.DONE,
             attempts,
             has_chain=bool(chain),
             turns=chain if request.with_turns else [],
-            home=home,
+            chain_program=chain_program,
         )
 
     def _make_copy_reply(self, request: CopyRequest) -> CopyReply:
@@ -327,11 +340,15 @@
             if slot_of_program(program) not in slots:
                 continue
             if size >= COPY_CHUNK_BYTES:
-                return CopyReply(request.op, self.me.disk, Verdict.DONE, entries, False)
+                return CopyReply(
+                    request.op, self.me.disk, ReplyStatus.DONE, entries, False
+                )
             entry = self.ledger.accounts[program].to_entry()
             entries.append(entry)
-            size += ENTRY_OVERHEAD_BYTES + sum(len(turn.said) for turn in entry.turns)
-        return CopyReply(request.op, self.me.disk, Verdict.DONE, entries, True)
+            size += ENTRY_OVERHEAD_BYTES + sum(
+                len(turn.content) for turn in entry.turns
+            )
+        return CopyReply(request.op, self.me.disk, ReplyStatus.DONE, entries, True)
 
     def rewrite_accounts(self, programs: set[str]) -> int:
         """Add complete accounts to the next batch; return its number."""
@@ -361,7 +378,7 @@
         for disk in _disks(view) - _disks(self.view):
             self._added_at[disk] = now
         self.view = view
-        self.quota.take_members(view.members, now)
+        self.quota.update_members(view.members, now)
         self._view_unsynced = True
         if renumbered:
             self._plan_copies(now)
@@ -371,7 +388,7 @@
     def _view_version(self) -> tuple[int, int]:
         return self.view.number, len(self.view.synced)
 
-    def wishes(self, now: float) -> Wishes:
+    def observation(self, now: float) -> MembershipObservation:
         """Return the input of this member to a decision on the next view."""
         reachable = {
             disk for disk in self._heartbeat_at if self._is_reachable(disk, now)
@@ -379,7 +396,7 @@
         unresponsive = {
             disk for disk in _disks(self.view) if self._is_unresponsive(disk, now)
         }
-        return Wishes(
+        return MembershipObservation(
             self.me,
             frozenset(reachable | {self.me.disk}),
             frozenset(unresponsive),
@@ -445,7 +462,7 @@
         self._copy_view_number = self.view.number
         slots_by_member: dict[Member, list[int]] = {}
         for slot in range(SLOTS):
-            old = must_copy(self.view, self.me, slot, self._losses)
+            old = copy_sources(self.view, self.me, slot, self._max_failures)
             for member in old.members if old else ():
                 if member != self.me:
                     slots_by_member.setdefault(member, []).append(slot)
@@ -468,7 +485,7 @@
         source = self._sources.get(reply.disk)
         if source is None or source.op != reply.op or source.done:
             return
-        if reply.verdict is not Verdict.DONE:
+        if reply.status is not ReplyStatus.DONE:
             return
         for entry in reply.entries:
             new_records = self.ledger.merge(entry, now)
@@ -482,8 +499,8 @@
 
     def _copies_complete(self) -> bool:
         for slot in range(SLOTS):
-            old = must_copy(self.view, self.me, slot, self._losses)
-            if old is not None and not old.readable(self._copied_disks):
+            old = copy_sources(self.view, self.me, slot, self._max_failures)
+            if old is not None and not old.has_read_quorum(self._copied_disks):
                 return False
         return True
 
--- a/wisteriastair/core/ledger.py
+++ b/wisteriastair/core/ledger.py
@@ -35,15 +35,15 @@
 
     Attributes
     ----------
-    previous : str
+    previous_id : str
         Id of the turn that it continues; empty at the start of a chain.
-    said : bytes
+    content : bytes
         Its input followed by its output, as the next turn must repeat them.
     """
 
     id: str
-    previous: str
-    said: bytes
+    previous_id: str
+    content: bytes
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
@@ -51,12 +51,12 @@
 
     Attributes
     ----------
-    keep_s : float
+    retention_s : float
         Seconds for which the account is retained after its last record.
     """
 
     program: str
-    keep_s: float
+    retention_s: float
     attempts: dict[str, Attempt] = {}
     turns: list[Turn] = []
 
@@ -66,7 +66,7 @@
 
     def __init__(self, program: str, now: float) -> None:
         self.program = program
-        self.keep_s = 0.0
+        self.retention_s = 0.0
         self.last_used_at = now
         self.attempts: dict[str, Attempt] = {}
         self.turns: dict[str, Turn] = {}
@@ -77,7 +77,7 @@
         A reservation that arrives after its settlement, delayed or repeated, is
         dropped: it would reserve the tokens a second time.
         """
-        self.keep_s = max(self.keep_s, entry.keep_s)
+        self.retention_s = max(self.retention_s, entry.retention_s)
         self.last_used_at = now
         attempts: dict[str, Attempt] = {}
         for attempt_id, attempt in entry.attempts.items():
@@ -90,19 +90,22 @@
             self.turns[turn.id] = turn
         if not attempts and not turns:
             return None
-        return Entry(self.program, self.keep_s, attempts, turns)
+        return Entry(self.program, self.retention_s, attempts, turns)
 
     def to_entry(self) -> Entry:
         """Return all records of the account."""
         return Entry(
-            self.program, self.keep_s, dict(self.attempts), list(self.turns.values())
+            self.program,
+            self.retention_s,
+            dict(self.attempts),
+            list(self.turns.values()),
         )
 
     def chain(self, turn_id: str) -> list[Turn]:
         """Return the stored part of a chain that ends with a turn, oldest turn first.
 
         The turns of a chain may be on different replicas, as each is written to only as
-        many as a quorum needs.  `previous` of the oldest turn identifies the missing
+        many as a quorum needs.  `previous_id` of the oldest turn identifies the missing
         part.
         """
         found: list[Turn] = []
@@ -111,13 +114,13 @@
             if turn is None or len(found) > len(self.turns):
                 break
             found.append(turn)
-            turn_id = turn.previous
+            turn_id = turn.previous_id
         found.reverse()
         return found
 
     def is_expired(self, now: float) -> bool:
         """Whether the account has been unused for longer than its retention."""
-        return now - self.last_used_at > self.keep_s + RETENTION_SLACK_S
+        return now - self.last_used_at > self.retention_s + RETENTION_SLACK_S
 
 
 class FoundChain(NamedTuple):
@@ -142,7 +145,7 @@
             account = self.accounts[entry.program] = Account(entry.program, now)
         new_records = account.merge(entry, now)
         if new_records is not None:
-            self.turn_bytes += sum(len(turn.said) for turn in new_records.turns)
+            self.turn_bytes += sum(len(turn.content) for turn in new_records.turns)
             for turn in new_records.turns:
                 self._account_of_turn.setdefault(turn.id, account)
         return new_records
@@ -166,7 +169,7 @@
             for turn_id in account.turns:
                 if self._account_of_turn.get(turn_id) is account:
                     del self._account_of_turn[turn_id]
-            self.turn_bytes -= sum(len(t.said) for t in account.turns.values())
+            self.turn_bytes -= sum(len(t.content) for t in account.turns.values())
         return [account.program for account in expired]
 
     def longest_retention_s(self) -> float:
@@ -174,11 +177,11 @@
 
         A record older than this belongs to an account that was used again or expired.
         """
-        keep_s = max((a.keep_s for a in self.accounts.values()), default=0.0)
-        return keep_s + RETENTION_SLACK_S
+        retention_s = max((a.retention_s for a in self.accounts.values()), default=0.0)
+        return retention_s + RETENTION_SLACK_S
 
 
-def merged_attempts(replies: list[dict[str, Attempt]]) -> dict[str, Attempt]:
+def merge_attempts(replies: list[dict[str, Attempt]]) -> dict[str, Attempt]:
     """Merge the attempts of one program as reported by several replicas."""
     merged: dict[str, Attempt] = {}
     for attempts in replies:
@@ -189,11 +192,11 @@
     return merged
 
 
-def fits_budget(attempts: dict[str, Attempt], mine: str, budget: int) -> bool:
+def fits_budget(attempts: dict[str, Attempt], attempt_id: str, budget: int) -> bool:
     """Whether the attempts of a program, with the given one, fit into the budget.
 
     Two attempts that reserve at the same time see each other and may both be refused.
     This cannot exceed the budget, and each releases its reservation at once.
     """
-    assert mine in attempts, "an attempt must be reserved before the budget check"
+    assert attempt_id in attempts, "an attempt must be reserved before the budget check"
     return sum(attempt.tokens for attempt in attempts.values()) <= budget
--- a/wisteriastair/core/ledgerwire.py
+++ b/wisteriastair/core/ledgerwire.py
@@ -17,14 +17,14 @@
 from .quota import Permit
 
 
-class Verdict(IntEnum):
+class ReplyStatus(IntEnum):
     """Result of a request at a replica."""
 
     DONE = 0
     # The request has an older view than the replica; the reply holds the newer view.
     STALE_VIEW = 1
     # The replica does not know the view yet, or cannot write.
-    NOT_NOW = 2
+    UNAVAILABLE = 2
 
 
 class Write(msgspec.Struct, frozen=True, array_like=True, tag=1):
@@ -45,7 +45,7 @@
     with_turns: bool = False
 
 
-class Find(msgspec.Struct, frozen=True, array_like=True, tag=6):
+class FindChain(msgspec.Struct, frozen=True, array_like=True, tag=6):
     """Request a chain that no replica of the program's own slot has.
 
     A program may continue from a turn of an earlier program, which has another slot.
@@ -57,7 +57,7 @@
     with_turns: bool = False
 
 
-class Spread(msgspec.Struct, frozen=True, array_like=True, tag=9):
+class FanOutWrite(msgspec.Struct, frozen=True, array_like=True, tag=9):
     """Write that the receiver applies and forwards to other replicas.
 
     A relay with a slow link sends a turn once instead of once per replica; the links of
@@ -77,7 +77,7 @@
 
 
 class WriteReply(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Reply to `Write` and `Find`.
+    """Reply to `Write` and `FindChain`.
 
     Attributes
     ----------
@@ -87,17 +87,17 @@
         Whether the replica stores the last turn of the chain.
     turns : list of Turn
         The stored part of the chain, oldest turn first, if requested.
-    home : str
+    chain_program : str
         Program that the chain belongs to.
     """
 
     op: int
     disk: str
-    verdict: Verdict
+    status: ReplyStatus
     attempts: dict[str, Attempt] = {}
     has_chain: bool = False
     turns: list[Turn] = []
-    home: str = ""
+    chain_program: str = ""
     view: View | None = None
 
 
@@ -143,7 +143,7 @@
 
     op: int
     disk: str
-    verdict: Verdict
+    status: ReplyStatus
     entries: list[Entry] = []
     is_last: bool = False
 
@@ -156,12 +156,12 @@
     value: bytes
 
 
-class AskDocuments(msgspec.Struct, frozen=True, array_like=True, tag=7):
+class DocumentsRequest(msgspec.Struct, frozen=True, array_like=True, tag=7):
     """Request the newest known documents of the platform store from a keeper."""
 
 
-class KnownDocuments(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """Reply to `AskDocuments`.
+class DocumentsReply(msgspec.Struct, frozen=True, array_like=True, tag=8):
+    """Reply to `DocumentsRequest`.
 
     Attributes
     ----------
@@ -187,14 +187,14 @@
 
     Attributes
     ----------
-    values : bool
+    with_values : bool
         Whether to send the changes themselves, or only their revisions.
     """
 
-    values: bool
+    with_values: bool
 
 
-class StoreNews(msgspec.Struct, frozen=True, array_like=True, tag=11):
+class StoreUpdate(msgspec.Struct, frozen=True, array_like=True, tag=11):
     """Latest changes of the platform store, from a keeper that watches it.
 
     Attributes
@@ -203,17 +203,17 @@
         The changes are complete from after revision `base` up to `revision`.
     changes : list of Change or None
         None if there are changes that this message does not hold.
-    in_touch : bool
+    store_reachable : bool
         False if the store does not answer; the other fields are then unchanged.
     """
 
     base: int
     revision: int
     changes: list[Change] | None = []
-    in_touch: bool = True
+    store_reachable: bool = True
 
 
-class AskPermit(msgspec.Struct, frozen=True, array_like=True, tag=12):
+class PermitRequest(msgspec.Struct, frozen=True, array_like=True, tag=12):
     """Request a permit for one request from a holder of a customer's quota.
 
     It may be lost or duplicated; a duplicate consumes a permit that is never used.
@@ -224,7 +224,7 @@
         Program that the request belongs to; empty for a request without a program.
     kind : str
         Kind of the program if this may be its first request; else empty.
-    ahead : bool
+    allow_delayed : bool
         Whether a permit that becomes valid slightly later is accepted.
     """
 
@@ -232,11 +232,11 @@
     customer: str
     program: str
     kind: str = ""
-    ahead: bool = False
+    allow_delayed: bool = False
 
 
 class PermitReply(msgspec.Struct, frozen=True, array_like=True, tag=13):
-    """Reply to `AskPermit`."""
+    """Reply to `PermitRequest`."""
 
     op: int
     permit: Permit
@@ -244,17 +244,17 @@
 
 LedgerMessage = (
     Write
-    | Spread
-    | Find
+    | FanOutWrite
+    | FindChain
     | WriteReply
     | Ping
     | CopyRequest
     | CopyReply
-    | AskDocuments
-    | KnownDocuments
+    | DocumentsRequest
+    | DocumentsReply
     | Subscribe
-    | StoreNews
-    | AskPermit
+    | StoreUpdate
+    | PermitRequest
     | PermitReply
 )
 
--- a/wisteriastair/core/membership.py
+++ b/wisteriastair/core/membership.py
@@ -23,7 +23,7 @@
 from functools import lru_cache
 from typing import Final, NamedTuple
 
-from .hashing import hash_word, rank
+from .hashing import hash64, rendezvous_order
 
 SLOTS: Final = 64
 
@@ -73,11 +73,11 @@
     write: int
     read: int
 
-    def written(self, disks: set[str]) -> bool:
+    def has_write_quorum(self, disks: set[str]) -> bool:
         """Whether these disks include a write quorum."""
         return self._count(disks) >= self.write
 
-    def readable(self, disks: set[str]) -> bool:
+    def has_read_quorum(self, disks: set[str]) -> bool:
         """Whether these disks include a read quorum, which sees all earlier writes."""
         return self._count(disks) >= self.read
 
@@ -87,11 +87,13 @@
 
 def slot_of_program(program: str) -> int:
     """Return the slot of a program."""
-    return hash_word("ledger", program) % SLOTS
+    return hash64("ledger", program) % SLOTS
 
 
 @lru_cache(maxsize=4096)
-def replica_set(members: tuple[Member, ...], slot: int, losses: int) -> ReplicaSet:
+def replica_set(
+    members: tuple[Member, ...], slot: int, max_failures: int
+) -> ReplicaSet:
     """Compute the replicas of a slot.
 
     The order is that of rendezvous hashing, with one replica per failure domain first,
@@ -99,17 +101,17 @@
 
     Parameters
     ----------
-    losses : int
+    max_failures : int
         Number of members that may fail at the same time (t).
     """
     by_name = {member.name: member for member in members}
-    order = [by_name[name] for name in rank(f"slot {slot}", by_name)]
-    chosen = over_domains(order, 2 * losses + 1)
-    write = losses + 1
+    order = [by_name[name] for name in rendezvous_order(f"slot {slot}", by_name)]
+    chosen = spread_over_domains(order, 2 * max_failures + 1)
+    write = max_failures + 1
     return ReplicaSet(chosen, write, max(1, len(chosen) - write + 1))
 
 
-def over_domains(order: list[Member], count: int) -> tuple[Member, ...]:
+def spread_over_domains(order: list[Member], count: int) -> tuple[Member, ...]:
     """Select members in order, one per failure domain before a second of any domain."""
     chosen: list[Member] = []
     while len(chosen) < min(count, len(order)):
@@ -121,15 +123,17 @@
     return tuple(chosen[:count])
 
 
-def replica_sets(view: View, slot: int, losses: int) -> tuple[ReplicaSet, ...]:
+def replica_sets(view: View, slot: int, max_failures: int) -> tuple[ReplicaSet, ...]:
     """Return the sets whose quorums a request needs: one, or two during a change."""
-    sets = [replica_set(view.members, slot, losses)]
+    sets = [replica_set(view.members, slot, max_failures)]
     if view.old:
-        sets.append(replica_set(view.old, slot, losses))
+        sets.append(replica_set(view.old, slot, max_failures))
     return tuple(sets)
 
 
-def must_copy(view: View, me: Member, slot: int, losses: int) -> ReplicaSet | None:
+def copy_sources(
+    view: View, me: Member, slot: int, max_failures: int
+) -> ReplicaSet | None:
     """Return the old replicas that a member must copy a slot from, or None.
 
     A member that was a replica before needs no copy unless the set shrinks: a read
@@ -139,8 +143,8 @@
     """
     if not view.old:
         return None
-    new = replica_set(view.members, slot, losses)
-    old = replica_set(view.old, slot, losses)
+    new = replica_set(view.members, slot, max_failures)
+    old = replica_set(view.old, slot, max_failures)
     if me not in new.members:
         return None
     if me in old.members and len(new.members) >= len(old.members):
@@ -148,7 +152,7 @@
     return old
 
 
-class Wishes(NamedTuple):
+class MembershipObservation(NamedTuple):
     """Input of one member to a decision on the next view.
 
     Attributes
@@ -169,35 +173,39 @@
     retiring: frozenset[str]
 
 
-def next_view(view: View, wishes: Wishes, losses: int) -> View | None:
+def next_view(
+    view: View, observation: MembershipObservation, max_failures: int
+) -> View | None:
     """Propose the next view, or None if no change is needed.
 
     Only a member that reaches most of the others proposes: an isolated member would
     otherwise remove the members that are still serving.
     """
-    if _is_change_complete(view, losses):
+    if _is_change_complete(view, max_failures):
         return View(view.number + 1, view.members)
-    target = _target_members(view, wishes, losses)
-    if target == view.members or not _reaches_majority(view, wishes):
+    target = _target_members(view, observation, max_failures)
+    if target == view.members or not _reaches_majority(view, observation):
         return None
-    if len(view.members) <= losses and not view.old:
+    if len(view.members) <= max_failures and not view.old:
         # Too few members for a write to have counted: there is nothing to copy.
         return View(view.number + 1, target)
     return View(view.number + 1, target, view.old or view.members)
 
 
-def _is_change_complete(view: View, losses: int) -> bool:
+def _is_change_complete(view: View, max_failures: int) -> bool:
     if not view.old:
         return False
     copying_members = [
         member
         for member in view.members
-        if any(must_copy(view, member, slot, losses) for slot in range(SLOTS))
+        if any(copy_sources(view, member, slot, max_failures) for slot in range(SLOTS))
     ]
     return all(member.disk in view.synced for member in copying_members)
 
 
-def _target_members(view: View, wishes: Wishes, losses: int) -> tuple[Member, ...]:
+def _target_members(
+    view: View, observation: MembershipObservation, max_failures: int
+) -> tuple[Member, ...]:
     """Return the target list: all live members that are not retiring.
 
     An unresponsive member is removed whatever the size of the list.  If a permanently
@@ -210,28 +218,30 @@
     members that are retiring, including one that has just lost its disk, and then with
     unresponsive members.
     """
-    by_name = {m.name: m for m in (*view.old, *view.members, wishes.me)}
-    listed = {m.name for m in (*view.members, wishes.me)}
-    live = [m for m in by_name.values() if m.disk not in wishes.unresponsive]
-    target = [m for m in live if m.name in listed and m.name not in wishes.retiring]
-    retiring = [m for m in live if m.name in wishes.retiring]
+    by_name = {m.name: m for m in (*view.old, *view.members, observation.me)}
+    listed = {m.name for m in (*view.members, observation.me)}
+    live = [m for m in by_name.values() if m.disk not in observation.unresponsive]
+    target = [
+        m for m in live if m.name in listed and m.name not in observation.retiring
+    ]
+    retiring = [m for m in live if m.name in observation.retiring]
     names = {m.name for m in live}
     unresponsive = [m for m in view.members if m.name not in names]
     # Listed members come first, so that all members agree on the ones that are added.
     fill = sorted(retiring, key=lambda m: (m.name not in listed, m)) + sorted(
         unresponsive
     )
-    missing = losses + 1 - len(target)
+    missing = max_failures + 1 - len(target)
     return tuple(sorted((*target, *fill[: max(0, missing)])))
 
 
-def _reaches_majority(view: View, wishes: Wishes) -> bool:
-    others = [m for m in view.members if m.name != wishes.me.name]
-    reachable = sum(member.disk in wishes.reachable for member in others)
+def _reaches_majority(view: View, observation: MembershipObservation) -> bool:
+    others = [m for m in view.members if m.name != observation.me.name]
+    reachable = sum(member.disk in observation.reachable for member in others)
     return 2 * reachable >= len(others)
 
 
-def preferred(
+def select_replicas(
     replicas: ReplicaSet, domain: str, suspects: set[str], count: int
 ) -> list[Member]:
     """Select up to `count` replicas.
@@ -240,7 +250,7 @@
     copies are in different domains, and replicas in `domain` come first among these.
     Suspects are selected only if there is no other replica left.
     """
-    left = holder_order(replicas.members, domain)
+    left = sort_local_first(replicas.members, domain)
     left.sort(key=lambda member: member.disk in suspects)
     chosen: list[Member] = []
     while left and len(chosen) < count:
@@ -256,9 +266,9 @@
 
 @lru_cache(maxsize=4096)
 def _sorted_local_first(members: tuple[Member, ...], domain: str) -> tuple[Member, ...]:
-    return tuple(sorted(members, key=lambda m: (m.domain != domain, hash_word(m.name))))
+    return tuple(sorted(members, key=lambda m: (m.domain != domain, hash64(m.name))))
 
 
-def holder_order(members: tuple[Member, ...], domain: str) -> list[Member]:
+def sort_local_first(members: tuple[Member, ...], domain: str) -> list[Member]:
     """Sort members for a read, those in the domain of the reader first."""
     return list(_sorted_local_first(members, domain))
--- a/wisteriastair/keeper/documents.py
+++ b/wisteriastair/keeper/documents.py
@@ -71,7 +71,7 @@
         if self._documents.pop(key, None) is not None:
             self.changed = True
 
-    def keep_only(self, present: set[str]) -> None:
+    def retain_only(self, present: set[str]) -> None:
         """Remove documents that a complete listing of the store does not contain."""
         for key in list(self._documents):
             if key not in present:
--- a/wisteriastair/keeper/storage.py
+++ b/wisteriastair/keeper/storage.py
@@ -63,7 +63,7 @@
     async def run(self, send: Callable[[], None]) -> None:
         """Write batches until cancelled; ``send`` sends the replies of a batch."""
         while True:
-            batch = self._core.take_batch()
+            batch = self._core.next_batch()
             if batch is None:
                 self._batch_available = anyio.Event()
                 await self._batch_available.wait()
@@ -75,7 +75,7 @@
 
     async def _sync(self, batch: Batch) -> None:
         if not batch.entries and batch.view is None:
-            self._core.synced(batch)
+            self._core.on_synced(batch)
             return
         started_at = self._clock()
         try:
@@ -87,7 +87,7 @@
             return
         self._metrics.sync.observe(self._clock() - started_at)
         self._metrics.records.inc(len(batch.entries))
-        self._core.synced(batch)
+        self._core.on_synced(batch)
 
     async def reclaim_space(self, now: float) -> bool:
         """Remove expired accounts, and the oldest segment if it is past its retention.
