--- a/tests/core/test_keeper.py
+++ b/tests/core/test_keeper.py
@@ -309,7 +309,7 @@
     me = Member("k", "disk", "k:1", "d")
     view = View(1, (me,))
     core = KeeperCore(me, 0, view=view, entries=[], now=0.0, max_turn_bytes=2_500)
-    verdicts = []
+    statuses = []
     for number in range(4):
         turn = Turn(f"t{number}", "", b"x" * 1_000)
         entry = Entry("p", 60.0, {f"a{number}": Attempt(1, True)}, [turn])
@@ -319,8 +319,8 @@
             core.on_synced(batch)
         (_, reply), *_ = core.drain_outbox()
         assert isinstance(reply, WriteReply)
-        verdicts.append(reply.status)
-    assert verdicts == [
+        statuses.append(reply.status)
+    assert statuses == [
         ReplyStatus.DONE,
         ReplyStatus.DONE,
         ReplyStatus.UNAVAILABLE,
--- a/tests/core/test_keepers_model.py
+++ b/tests/core/test_keepers_model.py
@@ -144,10 +144,10 @@
     by_disk = {node.member.disk: node for node in running(state)}
     for node in running(state):
         me = node.member
-        wanted = copy_source_sets(state.view, me)
-        if not wanted or me.disk in state.view.synced:
+        source_sets = copy_source_sets(state.view, me)
+        if not source_sets or me.disk in state.view.synced:
             continue
-        if not all(replicas.has_read_quorum(set(by_disk)) for replicas in wanted):
+        if not all(replicas.has_read_quorum(set(by_disk)) for replicas in source_sets):
             continue
         synced = tuple(sorted((*state.view.synced, me.disk)))
         after = state._replace(view=state.view._replace(synced=synced))
@@ -251,7 +251,7 @@
 
 
 def planned_steps(state: SystemState) -> Iterator[tuple[str, SystemState]]:
-    """Add an instance, empty one, take an emptied one away, stop the store."""
+    """Add an instance, empty one, remove an emptied one, stop or start the store."""
     if _remaining(state, "additions"):
         new_node = Node(NAMES[len(state.nodes)])
         yield (
@@ -310,7 +310,7 @@
     return [(label, after) for label, after in steps if after != state]
 
 
-# What must hold
+# Invariants
 
 
 def record_is_seen(state: SystemState) -> bool:
--- a/tests/core/test_ledger_model.py
+++ b/tests/core/test_ledger_model.py
@@ -82,7 +82,7 @@
     propose: Callable[[View, MembershipObservation, int], View | None] = next_view
     copies_from: Callable[..., Any] = copy_sources
     accepts: Callable[[int, int], bool] = lambda write_view, known: write_view == known
-    counts: Callable[[SystemState, int], bool] = lambda state, number: _written(
+    counts: Callable[[SystemState, int], bool] = lambda state, number: _is_written(
         state, number
     )
     persists_view: bool = True
@@ -103,7 +103,7 @@
     return SystemState(nodes, view, (view,), 0, frozenset(), False, 0, 0)
 
 
-def _written(state: SystemState, number: int) -> bool:
+def _is_written(state: SystemState, number: int) -> bool:
     view = next(v for v in state.views if v.number == number)
     disks = set(state.accepted)
     return all(
--- a/tests/keeper/bench.py
+++ b/tests/keeper/bench.py
@@ -44,12 +44,12 @@
 async def _run_keeper(address: str) -> None:
     """Serve until standard input ends; then print the processor time."""
     with tempfile.TemporaryDirectory() as folder:
-        disk = Log(folder)
-        disk.load(0.0)
-        me = Member("k0", disk.disk, address, "d")
+        ledger_log = Log(folder)
+        ledger_log.load(0.0)
+        me = Member("k0", ledger_log.disk_id, address, "d")
         view = View(1, (me,))
         core = KeeperCore(me, 0, view=view, entries=[], now=time.monotonic())
-        storage = Storage(disk, core, KeeperMetrics())
+        storage = Storage(ledger_log, core, KeeperMetrics())
 
         def send() -> None:
             for to, message in core.drain_outbox():
@@ -60,7 +60,7 @@
             send()
             storage.wake()
 
-        transport = _transport(address, on_message)
+        transport = _make_transport(address, on_message)
         async with anyio.create_task_group() as group:
             group.start_soon(transport.run)
             group.start_soon(storage.run, send)
@@ -80,7 +80,7 @@
             group.cancel_scope.cancel()
 
 
-def _transport(address: str, on_message: object) -> Transport[LedgerMessage]:
+def _make_transport(address: str, on_message: object) -> Transport[LedgerMessage]:
     return Transport(
         f"{address}#1",
         on_message,  # type: ignore[arg-type]
@@ -99,7 +99,7 @@
         if op in sent_at:
             latencies_s.append(time.monotonic() - sent_at.pop(op))
 
-    transport = _transport(free_address(), on_message)
+    transport = _make_transport(free_address(), on_message)
     async with anyio.create_task_group() as group:
         group.start_soon(transport.run)
         count = REQUESTS // RELAYS
--- a/tests/keeper/test_log.py
+++ b/tests/keeper/test_log.py
@@ -24,7 +24,7 @@
 
 
 def newest_segment(folder: Path) -> Path:
-    """Return the newest segment that holds anything."""
+    """Return the newest segment that is not empty."""
     segments = [p for p in folder.iterdir() if p.name.startswith("ledger-")]
     return max(p for p in segments if p.stat().st_size > 0)
 
@@ -32,7 +32,7 @@
 def test_records_and_view_are_reloaded(tmp_path: Path) -> None:
     log = Log(str(tmp_path))
     log.load(0.0)
-    view = View(3, (Member("k1", log.disk, "10.0.0.1:1", "d1"),))
+    view = View(3, (Member("k1", log.disk_id, "10.0.0.1:1", "d1"),))
     log.append([entry("p1"), entry("p2")], view, 0.0)
     log.close()
 
@@ -42,7 +42,7 @@
     assert [e.program for e in loaded.entries] == ["p1", "p2"]
     assert loaded.entries[0] == entry("p1")
     assert loaded.view == view
-    assert again.disk == log.disk
+    assert again.disk_id == log.disk_id
     assert not loaded.damaged
 
 
@@ -52,7 +52,7 @@
     The torn record was not acknowledged.  The first restart truncates the file; the
     second must neither lose the record before it nor report the torn end as damage.
     """
-    disk = write_log(tmp_path, entry("p1"), entry("p2")).disk
+    disk = write_log(tmp_path, entry("p1"), entry("p2")).disk_id
     path = newest_segment(tmp_path)
     os.truncate(path, path.stat().st_size - 3)
 
@@ -67,7 +67,7 @@
     second.close()
     assert [e.program for e in again.entries] == ["p1"]
     assert not again.damaged
-    assert second.disk == disk
+    assert second.disk_id == disk
 
 
 def test_damage_to_synced_records_changes_the_disk_id(tmp_path: Path) -> None:
@@ -76,7 +76,7 @@
     The damaged record was acknowledged, so this instance must not count as its replica.
     With a new disk id it is treated as empty and copies from the other members.
     """
-    disk = write_log(tmp_path, entry("p1")).disk
+    disk = write_log(tmp_path, entry("p1")).disk_id
     damaged = newest_segment(tmp_path)
     write_log(tmp_path, entry("p2"))
     data = bytearray(damaged.read_bytes())
@@ -87,13 +87,13 @@
     loaded = log.load(0.0)
 
     assert loaded.damaged
-    assert log.disk != disk
+    assert log.disk_id != disk
     assert [e.program for e in loaded.entries] == ["p2"]
 
 
 def test_empty_disk_gets_a_new_id(tmp_path: Path) -> None:
-    first = write_log(tmp_path / "a").disk
-    second = write_log(tmp_path / "b").disk
+    first = write_log(tmp_path / "a").disk_id
+    second = write_log(tmp_path / "b").disk_id
     assert first and second and first != second
 
 
--- a/tests/keeper/test_storage.py
+++ b/tests/keeper/test_storage.py
@@ -23,12 +23,12 @@
     """Core and disk of one keeper, and its replies."""
 
     def __init__(self, folder: Path) -> None:
-        self.disk = Log(str(folder))
-        loaded = self.disk.load(0.0)
-        me = Member("k", self.disk.disk, "k:1", "d")
+        self.log = Log(str(folder))
+        loaded = self.log.load(0.0)
+        me = Member("k", self.log.disk_id, "k:1", "d")
         view = View(1, (me,))
         self.core = KeeperCore(me, 0, view=view, entries=loaded.entries, now=0.0)
-        self.storage = Storage(self.disk, self.core, KeeperMetrics(), self.clock)
+        self.storage = Storage(self.log, self.core, KeeperMetrics(), self.clock)
         self.replies: list[LedgerMessage] = []
         self.now = 0.0
 
@@ -92,7 +92,7 @@
 
     run_scenario(harness, scenario)
     assert set(harness.core.ledger.accounts) == {"lives"}
-    harness.disk.close()
+    harness.log.close()
     loaded = Log(str(tmp_path)).load(0.0)
     stored_attempts = {
         attempt for entry in loaded.entries for attempt in entry.attempts
@@ -110,20 +110,20 @@
     in memory; it may only be acknowledged once they are on the disk as well.
     """
     harness = Harness(tmp_path)
-    append = harness.disk.append
+    append = harness.log.append
 
     def fail_write(*args: object) -> None:
         raise OSError(28, "No space left on device")
 
     async def scenario() -> None:
-        monkeypatch.setattr(harness.disk, "append", fail_write)
+        monkeypatch.setattr(harness.log, "append", fail_write)
         refused = await harness.write("p", "a", 1.0)
         assert refused.status is ReplyStatus.UNAVAILABLE
-        monkeypatch.setattr(harness.disk, "append", append)
+        monkeypatch.setattr(harness.log, "append", append)
         repeated = await harness.write("p", "a", 1.0)
         assert repeated.status is ReplyStatus.DONE
 
     run_scenario(harness, scenario)
-    harness.disk.close()
+    harness.log.close()
     loaded = Log(str(tmp_path)).load(0.0)
     assert loaded.entries[0].attempts == {"a": Attempt(1, True)}
--- a/wisteriastair/core/keeper.py
+++ b/wisteriastair/core/keeper.py
@@ -389,7 +389,7 @@
         return self.view.number, len(self.view.synced)
 
     def observation(self, now: float) -> MembershipObservation:
-        """Return the input of this member to a decision on the next view."""
+        """Return the observations from which this member decides on the next view."""
         reachable = {
             disk for disk in self._heartbeat_at if self._is_reachable(disk, now)
         }
--- a/wisteriastair/core/ledger.py
+++ b/wisteriastair/core/ledger.py
@@ -9,7 +9,8 @@
 
 A reservation is durable before the request is sent to a server.  An attempt that is
 not settled stays reserved: if the process that ran it fails, the number of tokens
-delivered to the caller is unknown, and counting the maximum keeps the budget.
+delivered to the caller is unknown, and counting the maximum ensures that the budget is
+not exceeded.
 """
 
 from __future__ import annotations
@@ -193,7 +194,7 @@
 
 
 def fits_budget(attempts: dict[str, Attempt], attempt_id: str, budget: int) -> bool:
-    """Whether the attempts of a program, with the given one, fit into the budget.
+    """Whether the attempts of a program, including `attempt_id`, fit the budget.
 
     Two attempts that reserve at the same time see each other and may both be refused.
     This cannot exceed the budget, and each releases its reservation at once.
--- a/wisteriastair/core/ledgerwire.py
+++ b/wisteriastair/core/ledgerwire.py
@@ -1,7 +1,7 @@
 """Messages between relays and keepers of the ledger, and among keepers.
 
-Each request holds the number of the view under which it was sent.  Any message may be
-lost, duplicated or delayed: requests are idempotent and are repeated until enough
+Each request contains the number of the view under which it was sent.  Any message may
+be lost, duplicated or delayed: requests are idempotent and are repeated until enough
 replicas have replied.
 """
 
@@ -21,14 +21,14 @@
     """Result of a request at a replica."""
 
     DONE = 0
-    # The request has an older view than the replica; the reply holds the newer view.
+    # The request has an older view than the replica; the reply has the newer view.
     STALE_VIEW = 1
     # The replica does not know the view yet, or cannot write.
     UNAVAILABLE = 2
 
 
 class Write(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Sync records of a program; the reply holds all its known attempts.
+    """Sync records of a program; the reply has all known attempts.
 
     Attributes
     ----------
@@ -202,7 +202,7 @@
     base, revision : int
         The changes are complete from after revision `base` up to `revision`.
     changes : list of Change or None
-        None if there are changes that this message does not hold.
+        None if there are changes that this message does not contain.
     store_reachable : bool
         False if the store does not answer; the other fields are then unchanged.
     """
--- a/wisteriastair/core/membership.py
+++ b/wisteriastair/core/membership.py
@@ -11,7 +11,7 @@
 compare-and-swap; any member may propose a change.  A change goes through a joint view
 with the old and the new list.  During the change, reads and writes need a quorum of
 both lists, and new replicas copy from a read quorum of the old list.  Once all of them
-have reported the end of their copy, the old list is dropped.  Every request holds the
+have reported the end of their copy, the old list is dropped.  Every request has the
 number of its view.  A replica that knows a higher number refuses the request, so no
 write can reach a list that has already been copied from.
 
@@ -153,7 +153,7 @@
 
 
 class MembershipObservation(NamedTuple):
-    """Input of one member to a decision on the next view.
+    """Observations of one member, from which it decides on the next view.
 
     Attributes
     ----------
--- a/wisteriastair/keeper/daemon.py
+++ b/wisteriastair/keeper/daemon.py
@@ -109,7 +109,7 @@
         loaded = self._log.load(now)
         self._documents.load()
         me = Member(
-            self._cfg.name, self._log.disk, self._cfg.internal, self._cfg.domain
+            self._cfg.name, self._log.disk_id, self._cfg.internal, self._cfg.domain
         )
         self._core = KeeperCore(
             me,
@@ -182,8 +182,8 @@
 
     def _on_message(self, sender: str, message: LedgerMessage) -> None:
         if isinstance(message, DocumentsRequest):
-            known = DocumentsReply(self._documents.all(), self._mirror.revision)
-            self._transport.send(sender, known)
+            reply = DocumentsReply(self._documents.all(), self._mirror.revision)
+            self._transport.send(sender, reply)
             return
         if isinstance(message, Subscribe):
             store_update = self._mirror.store_update()
--- a/wisteriastair/keeper/log.py
+++ b/wisteriastair/keeper/log.py
@@ -85,7 +85,7 @@
     """
 
     def __init__(self, folder: str) -> None:
-        self.disk = ""
+        self.disk_id = ""
         self._folder = folder
         self._segments: list[Segment] = []
         self._fd = -1
@@ -222,14 +222,14 @@
         if not renew:
             try:
                 with open(path, encoding="ascii") as file:
-                    self.disk = file.read().strip()
+                    self.disk_id = file.read().strip()
             except (FileNotFoundError, UnicodeDecodeError):
-                self.disk = ""
-        if len(self.disk) == 2 * DISK_ID_BYTES:
+                self.disk_id = ""
+        if len(self.disk_id) == 2 * DISK_ID_BYTES:
             return
-        self.disk = os.urandom(DISK_ID_BYTES).hex()
+        self.disk_id = os.urandom(DISK_ID_BYTES).hex()
         with open(path, "w", encoding="ascii") as file:
-            file.write(self.disk)
+            file.write(self.disk_id)
             file.flush()
             os.fsync(file.fileno())
         folder_fd = os.open(self._folder, os.O_RDONLY)
