--- a/tests/daemons/test_deployment.py
+++ b/tests/daemons/test_deployment.py
@@ -39,7 +39,7 @@
 def post_program(deployment: Deployment, key: str, entry: int = 0) -> Any:
     program = deployment.example["program"]
     answer = httpx.post(
-        f"{deployment.entries()[entry]}/v1/programs",
+        f"{deployment.entry_urls()[entry]}/v1/programs",
         json={"service": program["service"], "prompt": program["prompt"]},
         headers={
             "authorization": f"Bearer {CALLER_TOKEN}",
@@ -51,7 +51,7 @@
 
 
 def ctl(deployment: Deployment, *words: str) -> subprocess.CompletedProcess[str]:
-    flags = ["--url", deployment.entries()[0], "--token", OPERATOR_TOKEN]
+    flags = ["--url", deployment.entry_urls()[0], "--token", OPERATOR_TOKEN]
     return subprocess.run(
         [sys.executable, "-m", "wisteriastair", "ctl", *flags, *words],
         capture_output=True,
@@ -105,7 +105,7 @@
     deployment.signal(victim, signal.SIGTERM)
     popen = deployment.processes[victim].popen
     assert popen.wait(TIMEOUT_S) == 0
-    deployment.unlist(victim)
+    deployment.remove_instance(victim)
     del deployment.processes[victim]
     expected = final_answer(deployment.example["program"]["prompt"])
     assert post_program(deployment, "k3")["answer"] == expected
--- a/tests/sessions/test_sessions.py
+++ b/tests/sessions/test_sessions.py
@@ -182,7 +182,7 @@
 
 @when("the plain servers hang")
 def servers_hang(session: Session) -> None:
-    session.deployment.hanging |= {"p1", "p2"}
+    session.deployment.hanging_servers |= {"p1", "p2"}
     session.say("the plain servers hang")
 
 
--- a/wisteriastair/standins/deployment.py
+++ b/wisteriastair/standins/deployment.py
@@ -1,7 +1,7 @@
-"""A whole deployment on one machine: daemons and stand-ins as separate processes.
+"""A complete deployment on one machine: daemons and stand-ins as separate processes.
 
-Used by the demonstration, the fault runs and the measurements.  It plays the part of
-the users' platform: it starts and ends processes and keeps the instance list.
+Used by the demonstration, the fault runs and the measurements.  It acts as the users'
+platform: it starts and ends processes and maintains the instance list.
 """
 
 from __future__ import annotations
@@ -20,18 +20,18 @@
 import httpx
 
 HOST: Final = "127.0.0.1"
-START_S: Final = 30.0
-POLL_S: Final = 0.05
-STOP_S: Final = 20.0
+START_TIMEOUT_S: Final = 30.0
+POLL_INTERVAL_S: Final = 0.05
+STOP_TIMEOUT_S: Final = 20.0
 CALLER_TOKEN: Final = "caller-token"
 OPERATOR_TOKEN: Final = "operator-token"
 
 
-INTERPRETED: Final = (sys.executable, "-m", "wisteriastair")
+INTERPRETER_COMMAND: Final = (sys.executable, "-m", "wisteriastair")
 
 
 class Process(NamedTuple):
-    """One process of the deployment."""
+    """A process of the deployment; `address` and `http` are IP:PORT or empty."""
 
     name: str
     popen: subprocess.Popen[bytes]
@@ -40,15 +40,15 @@
 
 
 def free_address() -> str:
-    """Return an address on this machine that nothing listens on."""
+    """Return an unused address (IP:PORT) on this machine."""
     with socket.socket() as probe:
         probe.bind((HOST, 0))
         return f"{HOST}:{probe.getsockname()[1]}"
 
 
-def command_for(binary: str) -> tuple[str, ...]:
-    """How to run the program: a built binary, or this interpreter without one."""
-    return (binary,) if binary else INTERPRETED
+def command_line(binary: str) -> tuple[str, ...]:
+    """Return the command that runs a built binary, or this interpreter if empty."""
+    return (binary,) if binary else INTERPRETER_COMMAND
 
 
 def read_example(path: Path) -> dict[str, Any]:
@@ -57,23 +57,23 @@
 
 
 class Deployment:
-    """Starts, changes and ends the processes.
+    """Starts, controls and ends the processes.
 
     Parameters
     ----------
     example : dict
-        Description as in ``examples/``.
+        Description, in the format of the files in ``examples/``.
     folder : Path
-        Where logs and spans go.
+        Folder for logs and spans.
     command : tuple of str
-        How the binary is run.
+        Command that runs the program.
     """
 
     def __init__(
         self,
         example: dict[str, Any],
         folder: Path,
-        command: tuple[str, ...] = INTERPRETED,
+        command: tuple[str, ...] = INTERPRETER_COMMAND,
     ) -> None:
         self.example = example
         self.folder = folder
@@ -81,15 +81,15 @@
         self.backends: dict[str, str] = {}
         self.platform_url = ""
         self.slots = int(example.get("slots", 16))
-        self.extra_bare_sides = 0
-        self.extra_side: tuple[str, ...] = ()
+        self.bare_side_count = 0
+        self.extra_side_args: tuple[str, ...] = ()
         self._name = uuid.uuid4().hex
         self._command = command
         self._client = httpx.Client(timeout=10.0)
 
     # Processes
 
-    def start(self, entries: int = 2) -> None:
+    def start(self, entry_count: int = 2) -> None:
         """Start everything and wait until it is ready."""
         self.folder.mkdir(parents=True, exist_ok=True)
         self._start_platform()
@@ -97,12 +97,12 @@
             self.start_backend(server)
         for server in self.example["servers"]:
             self.start_side(server)
-        for number in range(self.extra_bare_sides):
+        for number in range(self.bare_side_count):
             domains = self.example["domains"]
             self.start_bare_side(domains[(number + 1) % len(domains)])
-        for number in range(entries):
+        for number in range(entry_count):
             self.start_entry(f"entry-{number + 1}")
-        self.wait_placed()
+        self.wait_slots_placed()
 
     def _start_platform(self) -> None:
         http = free_address()
@@ -127,10 +127,10 @@
         address, http = free_address(), free_address()
         flag = "--models" if server["kind"] == "model" else "--plain"
         backend = f"{server['name']}={self.backends[server['name']]}"
-        args = [flag, backend, "--domain", server["domain"], *self.extra_side]
+        args = [flag, backend, "--domain", server["domain"], *self.extra_side_args]
         self._start_daemon(name, "side", address, http, args)
         servers = [server["name"]]
-        self.list_instance(name, "side", address, server["domain"], servers)
+        self.add_instance(name, "side", address, server["domain"], servers)
         return name
 
     def start_bare_side(self, domain: str) -> None:
@@ -138,9 +138,9 @@
         number = len([name for name in self.processes if name.startswith("side-bare")])
         name = f"side-bare-{number}"
         address, http = free_address(), free_address()
-        args = ["--domain", domain, *self.extra_side]
+        args = ["--domain", domain, *self.extra_side_args]
         self._start_daemon(name, "side", address, http, args)
-        self.list_instance(name, "side", address, domain, [])
+        self.add_instance(name, "side", address, domain, [])
 
     def start_entry(self, name: str) -> None:
         """Start an entry."""
@@ -152,7 +152,7 @@
         args += ["--caller-tokens", f"{self.example['customer']}={CALLER_TOKEN}"]
         args += ["--operator-tokens", f"operator={OPERATOR_TOKEN}"]
         self._start_daemon(name, "entry", address, http, args)
-        self.list_instance(name, "entry", address, domain, [])
+        self.add_instance(name, "entry", address, domain, [])
 
     def _start_daemon(
         self, name: str, kind: str, address: str, http: str, args: list[str]
@@ -174,51 +174,51 @@
         self.processes[name] = Process(name, popen, address, http)
 
     def _wait_http(self, url: str) -> None:
-        end = time.monotonic() + START_S
-        while time.monotonic() < end:
+        deadline = time.monotonic() + START_TIMEOUT_S
+        while time.monotonic() < deadline:
             try:
                 if self._client.get(url).status_code == httpx.codes.OK:
                     return
             except httpx.HTTPError:
                 pass
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
         raise TimeoutError(f"{url} did not answer")
 
-    def wait_placed(self) -> None:
-        """Wait until every entry knows a complete slot table."""
-        end = time.monotonic() + START_S
-        while not all(self._placed(url) for url in self.entries()):
-            if time.monotonic() > end:
+    def wait_slots_placed(self) -> None:
+        """Wait until every entry has a complete slot table."""
+        deadline = time.monotonic() + START_TIMEOUT_S
+        while not all(self._has_placed_slots(url) for url in self.entry_urls()):
+            if time.monotonic() > deadline:
                 raise TimeoutError("the slots were not placed")
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
 
-    def _placed(self, url: str) -> bool:
+    def _has_placed_slots(self, url: str) -> bool:
         return bool(self._client.get(f"{url}/healthz").json()["placed"])
 
-    # Platform's part
+    # Platform
 
-    def list_instance(
+    def add_instance(
         self, name: str, role: str, address: str, domain: str, servers: list[str]
     ) -> None:
-        """Put an instance on the platform's list."""
+        """Add an instance to the platform's list."""
         row = {"name": name, "role": role, "address": address, "domain": domain}
         body = {**row, "servers": servers, "leaving": False}
         self._client.put(f"{self.platform_url}/v1/instances/{name}", json=body)
 
-    def unlist(self, name: str) -> None:
-        """Take an instance off the platform's list."""
+    def remove_instance(self, name: str) -> None:
+        """Remove an instance from the platform's list."""
         self._client.delete(f"{self.platform_url}/v1/instances/{name}")
 
-    def control(self, url: str, **wanted: Any) -> None:
-        """Make a stand-in fail."""
-        self._client.post(f"{url}/control", json=wanted)
+    def control(self, url: str, **settings: Any) -> None:
+        """Set the faults of a stand-in."""
+        self._client.post(f"{url}/control", json=settings)
 
     def records(self, url: str) -> Any:
         """Read a stand-in's records."""
         return self._client.get(f"{url}/records").json()
 
     def health(self, name: str) -> Any:
-        """Read a daemon's health."""
+        """Read the health report of a daemon."""
         http = self.processes[name].http
         return self._client.get(f"http://{http}/healthz").json()
 
@@ -227,30 +227,30 @@
         self.processes[name].popen.send_signal(number)
 
     def kill(self, name: str) -> None:
-        """Kill a process at once and wait for its end."""
+        """Kill a process and wait until it has ended."""
         process = self.processes.pop(name)
         process.popen.kill()
         process.popen.wait()
 
-    # Using it
+    # Callers and operators
 
-    def entries(self) -> list[str]:
+    def entry_urls(self) -> list[str]:
         """Return the base URLs of the entries."""
-        found = [p for p in self.processes.values() if p.name.startswith("entry")]
-        return [f"http://{p.http}" for p in found]
+        running = [p for p in self.processes.values() if p.name.startswith("entry")]
+        return [f"http://{p.http}" for p in running]
 
-    def sides(self) -> list[str]:
-        """Names of the side processes."""
+    def side_names(self) -> list[str]:
+        """Return the names of the side processes."""
         return [name for name in self.processes if name.startswith("side")]
 
     def operate(self, command: str, change: str = "", entry: int = 0) -> Any:
-        """Send an operator's command."""
-        answer = self._client.post(
-            f"{self.entries()[entry]}/v1/operate",
+        """Send a command of an operator."""
+        response = self._client.post(
+            f"{self.entry_urls()[entry]}/v1/operate",
             json={"command": command, "change": change},
             headers={"authorization": f"Bearer {OPERATOR_TOKEN}"},
         )
-        return answer.json()
+        return response.json()
 
     def configure(self) -> int:
         """Send the example's commands; return the newest revision."""
@@ -263,26 +263,29 @@
         return revision
 
     def wait_revision(self, revision: int) -> None:
-        """Wait until every daemon has a configuration."""
-        end = time.monotonic() + START_S
-        names = [*self.sides(), *(n for n in self.processes if n.startswith("entry"))]
+        """Wait until every daemon has at least this configuration revision."""
+        deadline = time.monotonic() + START_TIMEOUT_S
+        names = [
+            *self.side_names(),
+            *(n for n in self.processes if n.startswith("entry")),
+        ]
         for name in names:
             while self.health(name)["revisions"].get("config", 0) < revision:
-                if time.monotonic() > end:
-                    raise TimeoutError(f"{name} did not hear of revision {revision}")
-                time.sleep(POLL_S)
+                if time.monotonic() > deadline:
+                    raise TimeoutError(f"{name} did not receive revision {revision}")
+                time.sleep(POLL_INTERVAL_S)
 
     def stop(self) -> None:
-        """End every process that was started here."""
+        """End every process of this deployment."""
         for process in self.processes.values():
             process.popen.send_signal(signal.SIGCONT)
             process.popen.kill()
         for process in self.processes.values():
-            process.popen.wait(STOP_S)
+            process.popen.wait(STOP_TIMEOUT_S)
         self._client.close()
         self.processes.clear()
 
 
-def default_folder() -> Path:
-    """Folder for logs of a run."""
+def log_folder() -> Path:
+    """Return the folder for the logs of runs."""
     return Path(os.environ.get("WISTERIASTAIR_OUT", "out"))
--- a/wisteriastair/standins/load.py
+++ b/wisteriastair/standins/load.py
@@ -1,10 +1,9 @@
 """The load tool: policies compared on the users' workloads in virtual time.
 
-Arrivals are open-loop; every policy gets the same programs at the same times for a
-seed.  The shipped cores decide; only engines, services, network and platform are
-stand-ins.  Printed are program latency, wasted cache (prompt tokens that some engine
-had computed before and that were computed again, of all prompt tokens), refusals and
-goodput.
+Arrivals are open-loop: for a given seed, every policy gets the same programs at the
+same times.  The cores are those of production; engines, services, network and platform
+are simulated.  The tool prints program latency, the fraction of prompt tokens that were
+computed again although an engine had computed them before, refusals and goodput.
 """
 
 from __future__ import annotations
@@ -30,37 +29,39 @@
 from .workload import (
     Arrival,
     Workload,
-    arrivals,
-    heavy_tailed,
+    draw_lognormal,
+    generate_arrivals,
     label_workload,
     office_workload,
 )
 
-SATURATION: Final = 4.0
-FIRST_GUESS_S: Final = {"office": 6.0, "ben-ammar": 1.0}
+SATURATION_LOAD: Final = 4.0
+# Programs per second that exceed the capacity of each deployment.
+OVERLOAD_RATES_PER_S: Final = {"office": 6.0, "ben-ammar": 1.0}
 WARM_UP_S: Final = 60.0
-SLOWNESS: Final = 4.0
+SLOW_FACTOR: Final = 4.0
 BURST_S: Final = 60.0
-LATE_SHARE: Final = 0.75
-LONGEST_PAUSE_S: Final = 20.0
+# Programs that start after this fraction of a run count as late.
+LATE_FRACTION: Final = 0.75
+MAX_PAUSE_S: Final = 20.0
 DRAIN_S: Final = 900.0
-HIGHEST_MS: Final = 3_600_000
-NO_LIMIT: Final = 0.0
+MAX_LATENCY_MS: Final = 3_600_000
+NO_WAIT_LIMIT_S: Final = 0.0
 MAX_WAIT_S: Final = 4.0
-# Router, order, and the predicted wait over which a new program is refused.
+# Router, order, and the predicted wait in seconds above which a program is rejected.
 POLICIES: Final = {
-    "round robin, fifo": ("round-robin", "fifo", NO_LIMIT),
-    "least load, fifo": ("least-load", "fifo", NO_LIMIT),
-    "affinity, fifo": ("affinity", "fifo", NO_LIMIT),
-    "cost, fifo": ("cost", "fifo", NO_LIMIT),
-    "cost, program": ("cost", "program", NO_LIMIT),
+    "round robin, fifo": ("round-robin", "fifo", NO_WAIT_LIMIT_S),
+    "least load, fifo": ("least-load", "fifo", NO_WAIT_LIMIT_S),
+    "affinity, fifo": ("affinity", "fifo", NO_WAIT_LIMIT_S),
+    "cost, fifo": ("cost", "fifo", NO_WAIT_LIMIT_S),
+    "cost, program": ("cost", "program", NO_WAIT_LIMIT_S),
     "chosen": ("cost", "program", MAX_WAIT_S),
 }
-CHOSEN: Final = "chosen"
+DEFAULT_POLICY: Final = "chosen"
 
 
 class Run(NamedTuple):
-    """One run to make."""
+    """Parameters of one run."""
 
     user: str
     policy: str
@@ -72,7 +73,7 @@
 
 
 class Result(NamedTuple):
-    """What one run showed; latencies in seconds."""
+    """Results of one run; latencies in seconds."""
 
     run: Run
     finished: int
@@ -89,7 +90,7 @@
     late_p95_s: float
 
 
-def workload_of(user: str) -> Workload:
+def workload_for_user(user: str) -> Workload:
     """Return the workload of a user."""
     return office_workload() if user == "office" else label_workload()
 
@@ -117,152 +118,165 @@
     deployment.change(PutService("create", True, workload.service))
     random = Random(seed)
 
-    def pause(call: GateCall) -> float:
-        drawn = Random(hash64(call.body, str(seed)) ^ 1)
-        drawn_s = heavy_tailed(drawn, workload.pause_median_s, workload.pause_sigma)
-        return min(LONGEST_PAUSE_S, drawn_s)
+    def draw_pause_s(call: GateCall) -> float:
+        pause_random = Random(hash64(call.body, str(seed)) ^ 1)
+        pause_s = draw_lognormal(
+            pause_random, workload.pause_median_s, workload.pause_sigma
+        )
+        return min(MAX_PAUSE_S, pause_s)
 
-    deployment.service_time = pause
+    deployment.service_delay = draw_pause_s
     deployment.run(10.0 + random.random())
     return deployment
 
 
-class _Caller:
-    """Gathers what callers see in one run."""
+class _LoadGenerator:
+    """Sends the programs of one run and counts their results."""
 
     def __init__(
         self, deployment: VirtualDeployment, workload: Workload, window_s: float
     ) -> None:
         self.deployment = deployment
         self.workload = workload
-        self.waiting = 0
+        self.pending = 0
         self.window_s = window_s
-        self.latency = HdrHistogram(1, HIGHEST_MS, 3)
-        self.late = HdrHistogram(1, HIGHEST_MS, 3)
-        self.late_from = 0.0
-        self.total_s = 0.0
+        self.latency = HdrHistogram(1, MAX_LATENCY_MS, 3)
+        self.late_latency = HdrHistogram(1, MAX_LATENCY_MS, 3)
+        self.late_from_s = 0.0
+        self.total_latency_s = 0.0
         self.finished = 0
-        self.in_window = 0
+        self.finished_in_window = 0
         self.refused = 0
         self.failed = 0
-        self.reasons: Counter[str] = Counter()
+        self.failure_statuses: Counter[str] = Counter()
         self.slowest_refusal_s = 0.0
-        self.by_customer: dict[str, list[float]] = {}
+        self.latencies_by_customer: dict[str, list[float]] = {}
 
-    def send(self, arrival: Arrival, count: bool, window_end: float) -> None:
+    def send(self, arrival: Arrival, counted: bool, window_end: float) -> None:
         """Send one program."""
-        self.waiting += 1
-        ask = RequestSpec(
+        self.pending += 1
+        spec = RequestSpec(
             "start",
             arrival.customer,
             key=arrival.key,
             service=self.workload.service.name,
             prompt=arrival.prompt,
         )
-        began = self.deployment.now
-        request = self.deployment.ask(ask, 1 + self.waiting % 2)
+        started_at = self.deployment.now
+        request = self.deployment.ask(spec, 1 + self.pending % 2)
 
         def ended(event: CallerEvent) -> None:
-            self.waiting -= 1
+            self.pending -= 1
             del self.deployment.events[request]
             done = isinstance(event, Done) and event.outcome.status == "done"
-            began_s = window_end - self.window_s
-            self.in_window += done and began_s <= self.deployment.now <= window_end
-            if count:
-                self._count(event, arrival, began)
+            window_start = window_end - self.window_s
+            self.finished_in_window += (
+                done and window_start <= self.deployment.now <= window_end
+            )
+            if counted:
+                self._count(event, arrival, started_at)
 
         self.deployment.on_last[request] = ended
 
-    def _count(self, event: CallerEvent, arrival: Arrival, began: float) -> None:
-        taken = self.deployment.now - began
+    def _count(self, event: CallerEvent, arrival: Arrival, started_at: float) -> None:
+        latency_s = self.deployment.now - started_at
         if isinstance(event, Done) and event.outcome.status == "done":
             self.finished += 1
-            self.total_s += taken
-            self.latency.record_value(max(1, int(taken * 1000)))
-            if began >= self.late_from:
-                self.late.record_value(max(1, int(taken * 1000)))
-            self.by_customer.setdefault(arrival.customer, []).append(taken)
+            self.total_latency_s += latency_s
+            self.latency.record_value(max(1, int(latency_s * 1000)))
+            if started_at >= self.late_from_s:
+                self.late_latency.record_value(max(1, int(latency_s * 1000)))
+            self.latencies_by_customer.setdefault(arrival.customer, []).append(
+                latency_s
+            )
         elif isinstance(event, Done) and event.outcome.ran != "no":
             self.failed += 1
-            self.reasons[event.outcome.status] += 1
+            self.failure_statuses[event.outcome.status] += 1
         else:
             self.refused += 1
-            self.slowest_refusal_s = max(self.slowest_refusal_s, taken)
+            self.slowest_refusal_s = max(self.slowest_refusal_s, latency_s)
 
     def fairness(self) -> float:
-        """Jain's index over the customers' mean latencies; 1 is equal."""
-        means = [sum(v) / len(v) for v in self.by_customer.values()]
+        """Return Jain's index over the mean latency of each customer; 1 is equal."""
+        means = [sum(v) / len(v) for v in self.latencies_by_customer.values()]
         if not means:
             return 1.0
         squares = sum(m * m for m in means)
         return sum(means) ** 2 / (len(means) * squares)
 
 
-def measure(run: Run) -> Result:
-    """Make one run."""
-    workload = workload_of(run.user)
+def execute_run(run: Run) -> Result:
+    """Execute one run."""
+    workload = workload_for_user(run.user)
     deployment = deployment_for(workload, run.policy, run.seed)
-    caller = _Caller(deployment, workload, run.seconds - WARM_UP_S)
-    begin = deployment.now
-    caller.late_from = begin + LATE_SHARE * run.seconds
-    window_end = begin + run.seconds
-    programs = arrivals(workload, run.rate_s, run.seconds, run.seed)
+    generator = _LoadGenerator(deployment, workload, run.seconds - WARM_UP_S)
+    started_at = deployment.now
+    generator.late_from_s = started_at + LATE_FRACTION * run.seconds
+    window_end = started_at + run.seconds
+    programs = generate_arrivals(workload, run.rate_s, run.seconds, run.seed)
     if run.fault == "burst":
-        programs += _burst(workload, run)
+        programs += _burst_arrivals(workload, run)
     for arrival in programs:
-        counted = arrival.at >= WARM_UP_S
+        counted = arrival.arrival_s >= WARM_UP_S
 
-        def send(a: Arrival = arrival, c: bool = counted) -> None:
-            caller.send(a, c, window_end)
+        def send(a: Arrival = arrival, is_counted: bool = counted) -> None:
+            generator.send(a, is_counted, window_end)
 
-        deployment.after(arrival.at, send)
+        deployment.after(arrival.arrival_s, send)
     _schedule_fault(deployment, run)
     deployment.run(run.seconds)
-    deployment.run_until(lambda: caller.waiting == 0, DRAIN_S)
-    ledger = deployment.ledger
-    latency = caller.latency
+    deployment.run_until(lambda: generator.pending == 0, DRAIN_S)
+    prefill_stats = deployment.prefill_stats
+    latency = generator.latency
     return Result(
         run,
-        caller.finished,
-        caller.refused,
-        caller.failed,
-        caller.total_s / max(1, caller.finished),
+        generator.finished,
+        generator.refused,
+        generator.failed,
+        generator.total_latency_s / max(1, generator.finished),
         latency.get_value_at_percentile(50) / 1000,
         latency.get_value_at_percentile(95) / 1000,
         latency.get_value_at_percentile(99) / 1000,
-        ledger.wasted_tokens / max(1, ledger.prompt_tokens),
-        caller.in_window / (run.seconds - WARM_UP_S),
-        caller.slowest_refusal_s,
-        caller.fairness(),
-        caller.late.get_value_at_percentile(95) / 1000,
+        prefill_stats.wasted_tokens / max(1, prefill_stats.prompt_tokens),
+        generator.finished_in_window / (run.seconds - WARM_UP_S),
+        generator.slowest_refusal_s,
+        generator.fairness(),
+        generator.late_latency.get_value_at_percentile(95) / 1000,
     )
 
 
-def _burst(workload: Workload, run: Run) -> list[Arrival]:
-    """Extra programs that make the rate three times as high for a while."""
-    extra = arrivals(workload, 2 * run.rate_s, BURST_S, run.seed + 1_000)
-    begin = run.seconds / 3
-    return [a._replace(at=begin + a.at, key=f"burst {a.key}") for a in extra]
+def _burst_arrivals(workload: Workload, run: Run) -> list[Arrival]:
+    """Return extra arrivals that triple the rate for ``BURST_S`` seconds."""
+    extra_arrivals = generate_arrivals(
+        workload, 2 * run.rate_s, BURST_S, run.seed + 1_000
+    )
+    burst_start_s = run.seconds / 3
+    return [
+        a._replace(arrival_s=burst_start_s + a.arrival_s, key=f"burst {a.key}")
+        for a in extra_arrivals
+    ]
 
 
 def _schedule_fault(deployment: VirtualDeployment, run: Run) -> None:
-    """Make a server slow, or lose one, a third into the run."""
-    at = run.seconds / 3
+    """Slow down or kill a server after a third of the run."""
+    fault_start_s = run.seconds / 3
     first = deployment.cfg.servers[0].name
     match run.fault:
         case "slow":
             engine = deployment.engines[first]
-            deployment.after(at, lambda: setattr(engine, "slow_factor", SLOWNESS))
+            deployment.after(
+                fault_start_s, lambda: setattr(engine, "slow_factor", SLOW_FACTOR)
+            )
         case "lost":
-            deployment.after(at, lambda: deployment.kill(f"side-{first}"))
+            deployment.after(fault_start_s, lambda: deployment.kill(f"side-{first}"))
         case _:
             pass
 
 
-def capacity_of(user: str, seconds: float) -> float:
-    """Programs a second that the chosen policy finishes when offered too many."""
-    rate = FIRST_GUESS_S[user]
-    result = measure(Run(user, CHOSEN, SATURATION, rate, seconds, 0))
+def measure_capacity(user: str, seconds: float) -> float:
+    """Return the programs per second that the default policy finishes in overload."""
+    rate = OVERLOAD_RATES_PER_S[user]
+    result = execute_run(Run(user, DEFAULT_POLICY, SATURATION_LOAD, rate, seconds, 0))
     return result.goodput_s
 
 
@@ -283,43 +297,52 @@
     users : list[str]
         office, ben-ammar.
     loads : list[float]
-        Shares of the measured capacity to offer.
+        Fractions of the measured capacity to offer.
     seeds : int
-        Runs of each kind.
+        Runs per combination of user, load and policy.
     seconds : float
         Virtual seconds of arrivals.
     jobs : int
-        Runs at once.
+        Runs in parallel.
     fault : str
-        What happens a third into each run: slow or lost (one model server), burst
+        What happens after a third of each run: slow or lost (one model server), burst
         (three times the arrivals for a minute).
     plot : str
         File for the results as JSON lines; empty for none.
     """
     with ProcessPoolExecutor(jobs) as pool:
-        found = pool.map(capacity_of, users, [seconds] * len(users))
-        capacities = dict(zip(users, found, strict=True))
+        estimates = pool.map(measure_capacity, users, [seconds] * len(users))
+        capacities = dict(zip(users, estimates, strict=True))
         runs = [
-            Run(user, policy, share, share * capacities[user], seconds, seed, fault)
+            Run(
+                user,
+                policy,
+                load_fraction,
+                load_fraction * capacities[user],
+                seconds,
+                seed,
+                fault,
+            )
             for user in users
-            for share in loads
+            for load_fraction in loads
             for policy in POLICIES
             for seed in range(1, seeds + 1)
         ]
-        results = list(pool.map(measure, runs))
+        results = list(pool.map(execute_run, runs))
     for user in users:
         print(f"\n{user}: capacity {capacities[user]:.2f} programs/s")
         print(_HEADER)
-        for share in loads:
+        for load_fraction in loads:
             for policy in POLICIES:
-                same = [
+                matching = [
                     r
                     for r in results
-                    if (r.run.user, r.run.load, r.run.policy) == (user, share, policy)
+                    if (r.run.user, r.run.load, r.run.policy)
+                    == (user, load_fraction, policy)
                 ]
-                print(_line(share, policy, same, capacities[user]))
+                print(_format_row(load_fraction, policy, matching, capacities[user]))
     if plot:
-        Path(plot).write_text("".join(json.dumps(_flat(r)) + "\n" for r in results))
+        Path(plot).write_text("".join(json.dumps(_flatten(r)) + "\n" for r in results))
     return 0
 
 
@@ -330,26 +353,30 @@
 )
 
 
-def _line(share: float, policy: str, same: list[Result], capacity: float) -> str:
-    def mid(name: str) -> float:
-        return float(median(getattr(r, name) for r in same))
+def _format_row(
+    load_fraction: float, policy: str, matching: list[Result], capacity: float
+) -> str:
+    def median_of(name: str) -> float:
+        return float(median(getattr(r, name) for r in matching))
 
-    def spread(name: str, factor: float = 1.0) -> str:
-        values = [factor * getattr(r, name) for r in same]
+    def format_spread(name: str, factor: float = 1.0) -> str:
+        values = [factor * getattr(r, name) for r in matching]
         return f"{median(values):.1f} ({min(values):.1f}-{max(values):.1f})"
 
-    total = sum(r.finished + r.refused + r.failed for r in same)
-    refused = sum(r.refused for r in same) / max(1, total)
-    failed = sum(r.failed for r in same)
+    total = sum(r.finished + r.refused + r.failed for r in matching)
+    refused = sum(r.refused for r in matching) / max(1, total)
+    failed = sum(r.failed for r in matching)
     return (
-        f"{share:>5} {policy:<18} {mid('mean_s'):>8.1f} {mid('p50_s'):>7.1f} "
-        f"{spread('p95_s'):>15} {mid('p99_s'):>7.1f} {spread('wasted', 100):>15} "
-        f"{mid('goodput_s') / capacity:>8.2f} {refused:>8.1%} {failed:>6} "
-        f"{mid('fairness'):>5.2f} {mid('late_p95_s'):>8.1f}"
+        f"{load_fraction:>5} {policy:<18} "
+        f"{median_of('mean_s'):>8.1f} {median_of('p50_s'):>7.1f} "
+        f"{format_spread('p95_s'):>15} {median_of('p99_s'):>7.1f} "
+        f"{format_spread('wasted', 100):>15} "
+        f"{median_of('goodput_s') / capacity:>8.2f} {refused:>8.1%} {failed:>6} "
+        f"{median_of('fairness'):>5.2f} {median_of('late_p95_s'):>8.1f}"
     )
 
 
-def _flat(result: Result) -> dict[str, Any]:
+def _flatten(result: Result) -> dict[str, Any]:
     fields = result._asdict()
     run = fields.pop("run")
     return {**run._asdict(), **fields}
--- a/wisteriastair/standins/main.py
+++ b/wisteriastair/standins/main.py
@@ -23,11 +23,11 @@
     http : str
         IP:PORT to serve on.
     lag_s : float
-        Seconds by which the instance list lags.
+        Seconds until a change of the instance list is visible.
     reads_s : int
-        Reads a second; 0 for no limit.
+        Reads per second; 0 for no limit.
     writes_s : int
-        Writes a second; 0 for no limit.
+        Writes per second; 0 for no limit.
     """
     set_up_logs("warning")
     standin = PlatformStandin(lag_s, reads_s, writes_s)
@@ -52,17 +52,17 @@
     http : str
         IP:PORT to serve on.
     models : list[str]
-        Model versions held.
+        Model versions that are loaded.
     prefill_tokens_s : float
-        Prompt tokens computed a second.
+        Prompt tokens computed per second.
     decode_tokens_s : float
-        Output tokens a second of a lone request.
+        Output tokens per second of a request that runs alone.
     cache_tokens : int
-        Size of the prefix cache.
+        Capacity of the prefix cache.
     batch : int
-        Requests at once.
+        Maximum number of concurrent requests.
     ignore_fence : bool
-        Take orders with an old fencing number.
+        Accept orders with an old fencing number.
     """
     set_up_logs("warning")
     speed = EngineSpeed(prefill_tokens_s, decode_tokens_s, cache_tokens, batch)
@@ -79,7 +79,7 @@
     http : str
         IP:PORT to serve on.
     delay_s : float
-        Seconds that a call takes.
+        Duration of a call in seconds.
     """
     set_up_logs("warning")
     anyio.run(_serve, ServiceStandin(delay_s).app(), http)
--- a/wisteriastair/standins/script.py
+++ b/wisteriastair/standins/script.py
@@ -1,11 +1,11 @@
-"""What the stand-in model says.
+"""Scripted output of the stand-in model.
 
 A prompt may contain a line ``plan: STEP | STEP | ...``.  A step is a model call that
-asks for actions: ``tool NAME ARGUMENT`` or ``spawn PROMPT``, several joined by ``&``.
-After the last step the model answers with ``words=N`` words; before it says
-``stepwords=N`` words a step.  The words are numbered and derive from the prompt, so a
-checker can tell from an answer alone whether it is whole, in order and the right
-caller's.
+requests actions: ``tool NAME ARGUMENT`` or ``spawn PROMPT``, several joined by ``&``.
+Each step also outputs ``stepwords=N`` words.  After the last step the model outputs the
+final answer of ``words=N`` words.  The words are numbered and derived from the prompt,
+so a checker can verify from an answer alone that it is complete, in order and belongs
+to the caller.
 """
 
 from __future__ import annotations
@@ -14,60 +14,60 @@
 from hashlib import blake2b
 from typing import Final, NamedTuple
 
-PLAN: Final = re.compile(r"^plan:(.*)$", re.MULTILINE)
-WORDS: Final = re.compile(r"(?<!step)words=(\d+)")
+PLAN_PATTERN: Final = re.compile(r"^plan:(.*)$", re.MULTILINE)
+WORDS_PATTERN: Final = re.compile(r"(?<!step)words=(\d+)")
 DEFAULT_WORDS: Final = 12
-STEP: Final = re.compile(r"stepwords=(\d+)")
-STEP_WORDS: Final = 6
+STEP_WORDS_PATTERN: Final = re.compile(r"stepwords=(\d+)")
+DEFAULT_STEP_WORDS: Final = 6
 BYTES_PER_TOKEN: Final = 4
 
 
-class Saying(NamedTuple):
+class ScriptedOutput(NamedTuple):
     """Output of one model call: text, then actions as (name, argument)."""
 
     text: str
     actions: tuple[tuple[str, str], ...]
 
 
-def tag_of(prompt: str) -> str:
-    """Short tag of a prompt, carried by every word of its answers."""
+def prompt_tag(prompt: str) -> str:
+    """Return a short hash of a prompt; every word of its answers contains it."""
     return blake2b(prompt.encode(), digest_size=3).hexdigest()
 
 
 def numbered_words(prompt: str, turn: int, count: int) -> str:
-    """Words of one output."""
-    tag = tag_of(prompt)
+    """Return the words of one output."""
+    tag = prompt_tag(prompt)
     return " ".join(f"{tag}:{turn}.{n}" for n in range(count)) + " ."
 
 
-def steps_of(prompt: str) -> list[str]:
+def plan_steps(prompt: str) -> list[str]:
     """Return the steps of a prompt's plan."""
-    found = PLAN.search(prompt)
-    return [step.strip() for step in found.group(1).split("|")] if found else []
+    match = PLAN_PATTERN.search(prompt)
+    return [step.strip() for step in match.group(1).split("|")] if match else []
 
 
-def say(prompt: str, turn: int) -> Saying:
-    """Output of the model's ``turn``-th call (from 0) of a program."""
-    steps = steps_of(prompt)
+def scripted_output(prompt: str, turn: int) -> ScriptedOutput:
+    """Return the output of model call number ``turn`` (from 0) of a program."""
+    steps = plan_steps(prompt)
     if turn < len(steps):
-        actions = tuple(_action(part.strip()) for part in steps[turn].split("&"))
-        count = _number(STEP, prompt, STEP_WORDS)
-        return Saying(numbered_words(prompt, turn, count), actions)
-    count = _number(WORDS, prompt, DEFAULT_WORDS)
-    return Saying(numbered_words(prompt, turn, count), ())
+        actions = tuple(_parse_action(part.strip()) for part in steps[turn].split("&"))
+        count = _read_number(STEP_WORDS_PATTERN, prompt, DEFAULT_STEP_WORDS)
+        return ScriptedOutput(numbered_words(prompt, turn, count), actions)
+    count = _read_number(WORDS_PATTERN, prompt, DEFAULT_WORDS)
+    return ScriptedOutput(numbered_words(prompt, turn, count), ())
 
 
-def _number(pattern: re.Pattern[str], prompt: str, default: int) -> int:
-    found = pattern.search(prompt)
-    return int(found.group(1)) if found else default
+def _read_number(pattern: re.Pattern[str], prompt: str, default: int) -> int:
+    match = pattern.search(prompt)
+    return int(match.group(1)) if match else default
 
 
 def final_answer(prompt: str) -> str:
-    """Return the whole answer of a program with this prompt."""
-    return say(prompt, len(steps_of(prompt))).text
+    """Return the complete answer of a program with this prompt."""
+    return scripted_output(prompt, len(plan_steps(prompt))).text
 
 
-def _action(text: str) -> tuple[str, str]:
+def _parse_action(text: str) -> tuple[str, str]:
     kind, _, rest = text.partition(" ")
     if kind == "spawn":
         return ("spawn", rest)
@@ -76,5 +76,5 @@
 
 
 def count_tokens(text: str) -> int:
-    """Tokens of a text as the stand-in engine counts them."""
+    """Return the number of tokens of a text in the stand-in engine."""
     return len(text.encode()) // BYTES_PER_TOKEN + 1
--- a/wisteriastair/standins/service.py
+++ b/wisteriastair/standins/service.py
@@ -1,7 +1,7 @@
 """The stand-in plain service and tool service over HTTP.
 
 It records every execution, so that a checker can count how often an action that must
-not be repeated really ran.
+not be repeated has run.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from starlette.responses import JSONResponse, PlainTextResponse, Response
 from starlette.routing import Route
 
-FOREVER_S: Final = 3_600.0
+HANG_S: Final = 3_600.0
 
 
 class ServiceStandin:
@@ -23,14 +23,14 @@
     Parameters
     ----------
     delay_s : float
-        Seconds that a call takes.
+        Duration of a call in seconds.
     """
 
     def __init__(self, delay_s: float) -> None:
         self.records: list[dict[str, Any]] = []
         self._delay_s = delay_s
-        self._hang = 0
-        self._lose = 0
+        self._calls_to_hang = 0
+        self._responses_to_drop = 0
 
     def app(self) -> Starlette:
         """Build the HTTP application."""
@@ -47,9 +47,9 @@
         body = (await http.body()).decode()
         provider = http.path_params["provider"]
         operation = http.path_params["operation"]
-        if self._hang > 0:
-            self._hang -= 1
-            await anyio.sleep(FOREVER_S)
+        if self._calls_to_hang > 0:
+            self._calls_to_hang -= 1
+            await anyio.sleep(HANG_S)
         await anyio.sleep(self._delay_s)
         self.records.append(
             {
@@ -58,17 +58,17 @@
                 "argument": body,
             }
         )
-        if self._lose > 0:
-            self._lose -= 1
+        if self._responses_to_drop > 0:
+            self._responses_to_drop -= 1
             return Response(status_code=503)
         return PlainTextResponse(f"{operation} of {body} done")
 
     async def control(self, http: Request) -> Response:
-        """Fail on demand: hang, or lose the answer after the execution."""
-        wanted = await http.json()
-        self._hang += int(wanted.get("hang", 0))
-        self._lose += int(wanted.get("lose", 0))
-        self._delay_s = float(wanted.get("delay_s", self._delay_s))
+        """Set the faults: calls that hang, responses lost after the execution."""
+        settings = await http.json()
+        self._calls_to_hang += int(settings.get("hang", 0))
+        self._responses_to_drop += int(settings.get("lose", 0))
+        self._delay_s = float(settings.get("delay_s", self._delay_s))
         return JSONResponse({})
 
     async def get_records(self, http: Request) -> Response:
--- a/wisteriastair/standins/virtual.py
+++ b/wisteriastair/standins/virtual.py
@@ -1,9 +1,10 @@
-"""A whole deployment in one process and in virtual time.
+"""A complete deployment in one process and in virtual time.
 
-The shipped cores run against small fakes at their interfaces: a network that delays,
-loses and cuts, a key-value service that can be down or lose its answers, engines and
-plain services.  Every run with the same seed is the same run.  The failure tests, the
-golden sessions and the load tool use it; there is no socket and no real clock.
+The production cores run against simulations of what surrounds them: a network that
+delays, drops and partitions, a key-value service that can be down or lose its
+responses, engines and plain services.  Runs with the same seed are identical.  The
+failure tests, the golden sessions and the load tool use it.  It uses no sockets and no
+real clock.
 """
 
 from __future__ import annotations
@@ -57,8 +58,7 @@
 from ..core.side import SideCore, SideOptions
 from ..core.wire import CallId, GateCall, Message, decode_message, encode_message
 from ..errors import Failure
-from .engine_model import EngineModel as EngineStand
-from .engine_model import Ledger
+from .engine_model import PrefillStats, SimulatedEngine
 from .virtual_parts import (
     Disturb,
     EngineCall,
@@ -72,14 +72,32 @@
 from .virtual_time import VirtualTime
 
 ENGINE_STEP_S: Final = 0.02
-LIST_S: Final = 1.0
-HELD_S: Final = 5.0
-KV_S: Final = 0.002
-TEXT_PIECES: Final = 3
+LIST_INTERVAL_S: Final = 1.0
+CACHE_REPORT_INTERVAL_S: Final = 5.0
+KV_DELAY_S: Final = 0.002
+TEXT_CHUNKS: Final = 3
 
 
 class VirtualDeployment(VirtualTime):
-    """The deployment."""
+    """Runs the processes of a deployment in virtual time.
+
+    Attributes
+    ----------
+    events : dict
+        Events that each request's caller has received, by request.
+    on_last : dict
+        Callbacks for the final event, by request.
+    executions : list of Execution
+        Calls that the plain services have executed.
+    notes : list of str
+        Log messages of the processes.
+    hanging_servers : set of str
+        Servers that accept calls and never respond.
+    disturb : Disturb
+        Delays and drops messages.
+    service_delay : callable
+        Returns the duration of a plain call in seconds.
+    """
 
     def __init__(self, cfg: VirtualOptions) -> None:
         super().__init__()
@@ -90,39 +108,43 @@
         self.events: dict[str, list[CallerEvent]] = {}
         self.on_last: dict[str, Callable[[CallerEvent], None]] = {}
         self.executions: list[Execution] = []
-        self.ledger = Ledger()
-        self.engines: dict[str, EngineStand] = {}
+        self.prefill_stats = PrefillStats()
+        self.engines: dict[str, SimulatedEngine] = {}
         self.notes: list[str] = []
-        self.hanging: set[str] = set()
+        self.hanging_servers: set[str] = set()
         self.disturb: Disturb = undisturbed
-        self.service_time: Callable[[GateCall], float] = lambda call: cfg.service_s
-        self.messages = 0
-        self.bytes = 0
+        self.service_delay: Callable[[GateCall], float] = lambda call: cfg.service_s
+        self.message_count = 0
+        self.message_bytes = 0
         self.config: Config = EMPTY_CONFIG
         self._random = Random(cfg.seed)
-        self._cuts: set[frozenset[str]] = set()
-        self._requests = 0
-        self._running: dict[CallId, EngineCall] = {}
+        self._partitions: set[frozenset[str]] = set()
+        self._request_count = 0
+        self._engine_calls: dict[CallId, EngineCall] = {}
         self._incarnations = 0
         for server in cfg.servers:
             if server.kind == "model":
-                self.engines[server.name] = EngineStand(cfg.speed, self.ledger)
-                self._every(ENGINE_STEP_S, partial(self._step_engine, server.name))
+                self.engines[server.name] = SimulatedEngine(
+                    cfg.speed, self.prefill_stats
+                )
+                self._schedule_periodic(
+                    ENGINE_STEP_S, partial(self._step_engine, server.name)
+                )
             self.start_side(server)
         for number in range(cfg.entries):
             self._start_entry(f"entry-{number + 1}")
-        self._every(LIST_S, self._show_list)
+        self._schedule_periodic(LIST_INTERVAL_S, self._publish_instances)
 
     # Processes
 
     def start_side(self, server: VirtualServer) -> Node:
-        """Start (or restart, with a new incarnation) a server's side process."""
+        """Start the side process of a server, or restart it as a new incarnation."""
         name = f"side-{server.name}"
         address = f"{name}:1"
         cfg = self.cfg
         core = SideCore(
             SideOptions(
-                self._new_member(address),
+                self._next_member(address),
                 server.domain,
                 (server.name,),
                 cfg.slots,
@@ -139,13 +161,17 @@
         self.instances[name] = Instance(
             name, "side", address, server.domain, False, (server.name,)
         )
-        node = self._add(name, address, core)
-        self._every(cfg.tick_s, lambda: self._deliver(node, Tick()), node)
+        node = self._add_node(name, address, core)
+        self._schedule_periodic(cfg.tick_s, lambda: self._deliver(node, Tick()), node)
         if server.kind == "model":
-            self._every(HELD_S, lambda: self._report_held(node, server.name), node)
+            self._schedule_periodic(
+                CACHE_REPORT_INTERVAL_S,
+                lambda: self._report_cached_programs(node, server.name),
+                node,
+            )
         return node
 
-    def _new_member(self, address: str) -> str:
+    def _next_member(self, address: str) -> str:
         self._incarnations += 1
         return f"{address}#{self._incarnations}"
 
@@ -154,46 +180,48 @@
         domain = self.cfg.servers[0].domain
         core = EntryCore(
             EntryOptions(
-                self._new_member(address), domain, self.cfg.slots, self.cfg.segments
+                self._next_member(address), domain, self.cfg.slots, self.cfg.segments
             )
         )
         self.instances[name] = Instance(name, "entry", address, domain, False, ())
-        node = self._add(name, address, core)
-        self._every(self.cfg.tick_s, lambda: self._deliver(node, Tick()), node)
+        node = self._add_node(name, address, core)
+        self._schedule_periodic(
+            self.cfg.tick_s, lambda: self._deliver(node, Tick()), node
+        )
 
-    def _add(self, name: str, address: str, core: SideCore | EntryCore) -> Node:
+    def _add_node(self, name: str, address: str, core: SideCore | EntryCore) -> Node:
         member = f"{address}#{self._incarnations}"
         node = Node(name, member, core)
         self.nodes[name] = node
         for key in [CONFIG_KEY, *(f"slots/{n}" for n in range(self.cfg.segments))]:
-            self.after(0.0, partial(self._read, node, key))
-        self.after(0.0, self._show_list)
+            self.after(0.0, partial(self._read_key, node, key))
+        self.after(0.0, self._publish_instances)
         return node
 
     def side(self, server: str) -> SideCore:
-        """Core of a server's side process."""
+        """Return the core of the side process of a server."""
         core = self.nodes[f"side-{server}"].core
         assert isinstance(core, SideCore)
         return core
 
     def entry(self, number: int = 1) -> EntryCore:
-        """Core of an entry."""
+        """Return the core of an entry."""
         core = self.nodes[f"entry-{number}"].core
         assert isinstance(core, EntryCore)
         return core
 
     def kill(self, name: str, *, listed: bool = False) -> None:
-        """Kill a process; the list notices unless ``listed`` is kept."""
+        """Kill a process; remove it from the instance list unless ``listed`` is set."""
         self.nodes[name].alive = False
         if not listed:
             self.instances.pop(name, None)
 
     def freeze(self, name: str) -> None:
-        """Stop a process without ending it, as SIGSTOP does."""
+        """Suspend a process, as SIGSTOP does."""
         self.nodes[name].frozen = True
 
     def thaw(self, name: str) -> None:
-        """Let a frozen process go on; it finds what came meanwhile."""
+        """Resume a frozen process and deliver the events that arrived meanwhile."""
         node = self.nodes[name]
         node.frozen = False
         backlog, node.backlog = node.backlog, []
@@ -201,29 +229,29 @@
             self._deliver(node, event)
 
     def stop_side(self, name: str) -> None:
-        """Begin a planned stop."""
+        """Start a planned stop."""
         self._deliver(self.nodes[name], StopRequested())
 
     def cut(self, first: str, second: str) -> None:
-        """Cut two processes off from each other."""
-        self._cuts.add(frozenset((first, second)))
+        """Drop all messages between two processes."""
+        self._partitions.add(frozenset((first, second)))
 
     def heal(self) -> None:
-        """End all cuts."""
-        self._cuts.clear()
+        """Remove all network partitions."""
+        self._partitions.clear()
 
     # Time
 
-    def _every(
-        self, period: float, action: Callable[[], None], node: Node | None = None
+    def _schedule_periodic(
+        self, period_s: float, action: Callable[[], None], node: Node | None = None
     ) -> None:
-        def again() -> None:
+        def run_and_reschedule() -> None:
             if node is not None and (not node.alive or node.drained):
                 return
             action()
-            self.after(period, again)
+            self.after(period_s, run_and_reschedule)
 
-        self.after(self._random.random() * period, again)
+        self.after(self._random.random() * period_s, run_and_reschedule)
 
     # Delivery
 
@@ -236,9 +264,9 @@
             return
         core = node.core
         if isinstance(core, SideCore):
-            self._do(node, core.step(event, self.now))
+            self._apply_effects(node, core.step(event, self.now))
         else:
-            self._do(node, self._step_entry(core, event))
+            self._apply_effects(node, self._step_entry(core, event))
 
     def _step_entry(
         self, core: EntryCore, event: Event
@@ -255,19 +283,19 @@
             case _:
                 return []
 
-    def _do(self, node: Node, effects: list[Any]) -> None:
+    def _apply_effects(self, node: Node, effects: list[Any]) -> None:
         for effect in effects:
             match effect:
                 case Send(to, message):
                     self._transmit(node, to, message)
                 case DeliverToCaller(request, event):
-                    self._to_caller(request, event)
+                    self._deliver_to_caller(request, event)
                 case KvRead(key):
-                    self.after(KV_S, partial(self._read, node, key))
+                    self.after(KV_DELAY_S, partial(self._read_key, node, key))
                 case KvSwap():
-                    self.after(KV_S, partial(self._swap, node, effect))
+                    self.after(KV_DELAY_S, partial(self._swap_key, node, effect))
                 case KvWatch(active):
-                    node.watching = active
+                    node.is_watching = active
                 case BackendCall(call):
                     self._call_backend(node, call)
                 case BackendCancel(call_id, server):
@@ -283,54 +311,54 @@
 
     def _transmit(self, node: Node, to: str, message: Message) -> None:
         data = encode_message(message)
-        self.messages += 1
-        self.bytes += len(data)
+        self.message_count += 1
+        self.message_bytes += len(data)
         name = address_of(to).split(":")[0]
         target = self.nodes.get(name)
         if target is None or not target.alive or target.drained:
             return
         if "#" in to and target.member != to:
             return
-        if frozenset((node.name, name)) in self._cuts:
+        if frozenset((node.name, name)) in self._partitions:
             return
         received = Received(node.member, decode_message(data))
-        for extra in self.disturb(node.name, name, message):
-            delay = self.cfg.delay_s * (0.5 + self._random.random()) + extra
-            self.after(delay, partial(self._deliver, target, received))
+        for extra_s in self.disturb(node.name, name, message):
+            delay_s = self.cfg.delay_s * (0.5 + self._random.random()) + extra_s
+            self.after(delay_s, partial(self._deliver, target, received))
 
-    def _read(self, node: Node, key: str) -> None:
+    def _read_key(self, node: Node, key: str) -> None:
         self._deliver(node, self.kv.read(key))
 
-    def _swap(self, node: Node, swap: KvSwap) -> None:
-        answer = self.kv.swap(swap)
-        self._deliver(node, answer)
-        held = self.kv.keys.get(swap.key)
-        if held is not None and self.kv.up:
-            self.show(held)
+    def _swap_key(self, node: Node, swap: KvSwap) -> None:
+        result = self.kv.swap(swap)
+        self._deliver(node, result)
+        stored = self.kv.keys.get(swap.key)
+        if stored is not None and self.kv.up:
+            self.notify_watchers(stored)
 
-    def show(self, value: KvValue) -> None:
-        """Have the watchers see a key."""
+    def notify_watchers(self, value: KvValue) -> None:
+        """Deliver a key's value to all processes that watch the service."""
         for node in list(self.nodes.values()):
-            if node.watching:
-                self.after(KV_S, partial(self._deliver, node, value))
+            if node.is_watching:
+                self.after(KV_DELAY_S, partial(self._deliver, node, value))
 
-    def _show_list(self) -> None:
-        seen = InstancesSeen(tuple(self.instances[n] for n in sorted(self.instances)))
+    def _publish_instances(self) -> None:
+        event = InstancesSeen(tuple(self.instances[n] for n in sorted(self.instances)))
         for node in list(self.nodes.values()):
-            self._deliver(node, seen)
+            self._deliver(node, event)
 
     # Callers and operators
 
-    def ask(self, ask: RequestSpec, entry: int = 1) -> str:
-        """Send a caller's request; its events gather in ``events``."""
-        self._requests += 1
-        request = f"request-{self._requests}"
+    def ask(self, spec: RequestSpec, entry: int = 1) -> str:
+        """Send a caller's request; its events are appended to ``events``."""
+        self._request_count += 1
+        request = f"request-{self._request_count}"
         self.events[request] = []
         node = self.nodes[f"entry-{entry}"]
-        self._do(node, self.entry(entry).submit(request, ask, self.now))
+        self._apply_effects(node, self.entry(entry).submit(request, spec, self.now))
         return request
 
-    def _to_caller(self, request: str, event: CallerEvent) -> None:
+    def _deliver_to_caller(self, request: str, event: CallerEvent) -> None:
         if request not in self.events:
             return
         self.events[request].append(event)
@@ -344,15 +372,15 @@
         return events[-1] if final else None
 
     def change(self, change: Change) -> Config | Failure:
-        """Make a change of configuration as an operator's entry does."""
+        """Change the configuration as the entry of an operator does."""
         changed = apply_change(self.config, change)
         if isinstance(changed, Failure):
             return changed
         self.config = changed
-        held = self.kv.keys.get(CONFIG_KEY)
-        revision = held.revision if held is not None else 0
+        stored = self.kv.keys.get(CONFIG_KEY)
+        revision = stored.revision if stored is not None else 0
         self.kv.swap(KvSwap(CONFIG_KEY, revision, encode_config(changed)))
-        self.show(self.kv.keys[CONFIG_KEY])
+        self.notify_watchers(self.kv.keys[CONFIG_KEY])
         return changed
 
     # Backend servers
@@ -360,69 +388,71 @@
     def _call_backend(self, node: Node, call: GateCall) -> None:
         if call.server in self.engines:
             self._call_engine(node, call)
-        elif call.server not in self.hanging:
-            pause = self.service_time(call)
-            self.after(pause, lambda: self._execute(node, call))
+        elif call.server not in self.hanging_servers:
+            delay_s = self.service_delay(call)
+            self.after(delay_s, lambda: self._execute_plain(node, call))
 
-    def _execute(self, node: Node, call: GateCall) -> None:
-        name = "/".join(str(part) for part in call.call)
-        self.executions.append(Execution(call.server, call.name, call.body, name))
+    def _execute_plain(self, node: Node, call: GateCall) -> None:
+        call_id = "/".join(str(part) for part in call.call)
+        self.executions.append(Execution(call.server, call.name, call.body, call_id))
         text = f"{call.name} of {call.body} done"
         ended = BackendEnded(call.call, "ok", "yes", text, (), 0, 0, 0)
         self._deliver(node, ended)
 
     def _call_engine(self, node: Node, call: GateCall) -> None:
-        running = EngineCall(node, call)
-        self.engines[call.server].submit(running.request)
-        self._running[call.call] = running
+        engine_call = EngineCall(node, call)
+        self.engines[call.server].submit(engine_call.request)
+        self._engine_calls[call.call] = engine_call
         if self.cfg.stream:
-            size = max(1, -(-len(running.rest) // TEXT_PIECES))
-            for number in range(1, TEXT_PIECES):
-                emit = partial(self._emit, running, size * number)
+            chunk_chars = max(1, -(-len(engine_call.remaining_text) // TEXT_CHUNKS))
+            for number in range(1, TEXT_CHUNKS):
+                emit = partial(self._emit_text, engine_call, chunk_chars * number)
                 self.after(number * ENGINE_STEP_S, emit)
 
-    def _emit(self, running: EngineCall, end: int) -> None:
-        """Emit the output up to a position, unless the call is over."""
-        call = running.call.call
-        if self._running.get(call) is not running:
+    def _emit_text(self, engine_call: EngineCall, end: int) -> None:
+        """Emit the output up to a character position, unless the call has ended."""
+        call = engine_call.call.call
+        if self._engine_calls.get(call) is not engine_call:
             return
-        text = running.rest[running.emitted : end]
-        running.emitted = max(running.emitted, min(end, len(running.rest)))
+        text = engine_call.remaining_text[engine_call.emitted_chars : end]
+        engine_call.emitted_chars = max(
+            engine_call.emitted_chars, min(end, len(engine_call.remaining_text))
+        )
         if text:
-            self._deliver(running.node, BackendText(call, text))
+            self._deliver(engine_call.node, BackendText(call, text))
 
     def _step_engine(self, server: str) -> None:
-        if server in self.hanging:
+        if server in self.hanging_servers:
             return
         done = self.engines[server].step(ENGINE_STEP_S)
         if not done:
             return
-        for call_id, running in list(self._running.items()):
-            if running.request in done:
+        for call_id, engine_call in list(self._engine_calls.items()):
+            if engine_call.request in done:
                 if self.cfg.stream:
-                    self._emit(running, len(running.rest))
-                del self._running[call_id]
-                self._end_engine_call(running)
+                    self._emit_text(engine_call, len(engine_call.remaining_text))
+                del self._engine_calls[call_id]
+                self._end_engine_call(engine_call)
 
-    def _end_engine_call(self, running: EngineCall) -> None:
-        request = running.request
+    def _end_engine_call(self, engine_call: EngineCall) -> None:
+        request = engine_call.request
         ended = BackendEnded(
-            running.call.call,
+            engine_call.call.call,
             "ok",
             "yes",
-            "" if running.emitted else running.rest,
-            running.actions,
-            request.prompt,
-            request.cached,
-            request.output,
+            "" if engine_call.emitted_chars else engine_call.remaining_text,
+            engine_call.actions,
+            request.prompt_tokens,
+            request.cached_tokens,
+            request.output_tokens,
         )
-        self._deliver(running.node, ended)
+        self._deliver(engine_call.node, ended)
 
     def _cancel(self, call: CallId, server: str) -> None:
-        running = self._running.pop(call, None)
-        if running is not None:
-            self.engines[server].cancel(running.request.name)
+        engine_call = self._engine_calls.pop(call, None)
+        if engine_call is not None:
+            self.engines[server].cancel(engine_call.request.request_id)
 
-    def _report_held(self, node: Node, server: str) -> None:
-        held = tuple(self.engines[server].programs())
-        self._deliver(node, BackendCacheReport(server, held))
+    def _report_cached_programs(self, node: Node, server: str) -> None:
+        programs = tuple(self.engines[server].programs())
+        self._deliver(node, BackendCacheReport(server, programs))
--- a/wisteriastair/standins/virtual_parts.py
+++ b/wisteriastair/standins/virtual_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a virtual deployment: settings, processes, the key-value service."""
+"""Parts of a virtual deployment: settings, processes, the key-value service."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 from ..core.routing import EngineModel
 from ..core.side import SideCore
 from ..core.wire import GateCall, Message
-from .engine import blocks_of
+from .engine import prompt_blocks
 from .engine_model import EngineSpeed, Request
-from .script import count_tokens, say
+from .script import count_tokens, scripted_output
 
 TICK_S: Final = 0.1
 
@@ -43,11 +43,11 @@
     Attributes
     ----------
     delay_s : float
-        Mean one-way delay between processes.
+        Mean one-way delay between processes in seconds.
     service_s : float
-        Seconds that a plain call takes.
+        Duration of a plain call in seconds.
     stream : bool
-        Whether engines emit text as it is produced (slower to run).
+        Whether engines emit text as it is produced (slower to simulate).
     """
 
     servers: tuple[VirtualServer, ...]
@@ -69,17 +69,17 @@
     stop_s: float = 0.0
 
 
-# Extra delays of the copies of a message that arrive; none for a lost one.
+# Returns the extra delay in seconds of each copy of a message; empty if it is lost.
 Disturb = Callable[[str, str, Message], tuple[float, ...]]
 
 
 def undisturbed(sender: str, to: str, message: Message) -> tuple[float, ...]:
-    """Deliver every message once and at once."""
+    """Deliver every message once and without extra delay."""
     return (0.0,)
 
 
 class Node:
-    """One process: its core and whether it runs."""
+    """One process: its core and its state."""
 
     def __init__(self, name: str, member: str, core: SideCore | EntryCore) -> None:
         self.name = name
@@ -88,43 +88,43 @@
         self.alive = True
         self.frozen = False
         self.drained = False
-        self.watching = False
+        self.is_watching = False
         self.backlog: list[Event] = []
 
 
 class Execution(NamedTuple):
-    """One execution at a plain service, as the service itself recorded it."""
+    """One execution at a plain service, as the service recorded it."""
 
     server: str
     operation: str
     argument: str
-    call: str
+    call_id: str
 
 
 class EngineCall:
-    """A model call in an engine and how much of its output has been emitted."""
+    """A model call in an engine, and the number of characters already emitted."""
 
     def __init__(self, node: Node, call: GateCall) -> None:
         body = msgspec.json.decode(call.body)
-        contents = [m["content"] for m in body["messages"]]
+        messages = [m["content"] for m in body["messages"]]
         turn = sum(1 for m in body["messages"] if m["role"] == "assistant")
-        saying = say(contents[0], turn)
+        scripted = scripted_output(messages[0], turn)
         self.node = node
         self.call = call
-        self.rest = saying.text[len(body["prefix"]) :]
-        self.emitted = 0
-        self.actions = tuple(Action(name, text) for name, text in saying.actions)
+        self.remaining_text = scripted.text[len(body["prefix"]) :]
+        self.emitted_chars = 0
+        self.actions = tuple(Action(name, text) for name, text in scripted.actions)
         self.request = Request(
             "/".join(str(part) for part in call.call),
             call.call.program,
-            tuple(blocks_of(contents)),
-            max(1, min(call.max_tokens, count_tokens(self.rest))),
+            tuple(prompt_blocks(messages)),
+            max(1, min(call.max_tokens, count_tokens(self.remaining_text))),
             call.priority,
         )
 
 
 class VirtualKv:
-    """The key-value service."""
+    """Simulation of the platform's key-value service."""
 
     def __init__(self) -> None:
         self.keys: dict[str, KvValue] = {}
@@ -142,12 +142,12 @@
         return self.keys.get(key, KvValue(key, 0, b""))
 
     def swap(self, swap: KvSwap) -> KvWritten | KvConflict | KvUnknown:
-        """Write a key if it is at the revision given."""
+        """Write a key if it is at the expected revision."""
         self.writes += 1
         if not self.up:
             return KvUnknown(swap.key, True)
-        present = self.keys.get(swap.key)
-        if (present.revision if present is not None else 0) != swap.revision:
+        stored = self.keys.get(swap.key)
+        if (stored.revision if stored is not None else 0) != swap.revision:
             return KvConflict(swap.key)
         self.revision += 1
         self.keys[swap.key] = KvValue(swap.key, self.revision, swap.value)
--- a/wisteriastair/standins/virtual_time.py
+++ b/wisteriastair/standins/virtual_time.py
@@ -1,16 +1,16 @@
-"""Virtual time: actions in the order of their times, without a real clock."""
+"""Virtual time: runs scheduled actions in order of time, without a real clock."""
 
 from __future__ import annotations
 
 import heapq
 from collections.abc import Callable
 
-# Virtual seconds at which every run begins; any number above zero does.
-BEGINNING_S = 1_000.0
+# Virtual time at which every run starts; any positive number works.
+START_TIME_S = 1_000.0
 
 
 class VirtualTime:
-    """A clock that moves only when it is run.
+    """A clock that advances only when it is run.
 
     Attributes
     ----------
@@ -19,27 +19,27 @@
     """
 
     def __init__(self) -> None:
-        self.now = BEGINNING_S
+        self.now = START_TIME_S
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
-        # Actions of the same moment run in the order in which they were asked for.
+        # Breaks ties: actions of the same time run in the order of scheduling.
         self._sequence = 0
 
-    def after(self, delay: float, action: Callable[[], None]) -> None:
-        """Do something after a delay in virtual seconds."""
+    def after(self, delay_s: float, action: Callable[[], None]) -> None:
+        """Schedule an action after a delay in virtual seconds."""
         self._sequence += 1
-        heapq.heappush(self._queue, (self.now + delay, self._sequence, action))
+        heapq.heappush(self._queue, (self.now + delay_s, self._sequence, action))
 
     def run(self, seconds: float) -> None:
         """Advance virtual time."""
         self.run_until(lambda: False, seconds)
 
-    def run_until(self, done: Callable[[], bool], limit_s: float) -> bool:
-        """Advance until something holds; False if it did not within the limit."""
+    def run_until(self, condition: Callable[[], bool], limit_s: float) -> bool:
+        """Advance until a condition holds; return False if the limit comes first."""
         end = self.now + limit_s
         while self._queue and self._queue[0][0] <= end:
-            if done():
+            if condition():
                 return True
             self.now, _, action = heapq.heappop(self._queue)
             action()
         self.now = max(self.now, end)
-        return done()
+        return condition()
--- a/wisteriastair/standins/workload.py
+++ b/wisteriastair/standins/workload.py
@@ -1,9 +1,10 @@
-"""The two users' workloads, seeded.
+"""Seeded workloads of the two users.
 
-The Office: short appraisals with tool pauses and a missing-piece sub-agent, on 6 model
-servers and 6 counter servers in three failure domains.  Ben Ammar: long negotiations
-that reread a large rights chain every turn and branch by territory, on 5 model servers
-and 4 rights servers in four failure domains.  Lengths and pauses are heavy-tailed.
+The Office runs short appraisals with tool pauses and a missing-piece sub-agent, on 6
+model servers and 6 plain servers in three failure domains.  Ben Ammar runs long
+negotiations that read a large rights chain again in every turn and branch by territory,
+on 5 model servers and 4 plain servers in four failure domains.  Lengths and pauses are
+lognormal.
 """
 
 from __future__ import annotations
@@ -18,24 +19,24 @@
 
 OFFICE_MODEL: Final = "jigsaw-7b@3"
 LABEL_MODEL: Final = "lyric-13b@2"
-CHAINS: Final = 40
-CHAIN_TOKENS: Final = 9_000
+RIGHTS_CHAINS: Final = 40
+RIGHTS_CHAIN_TOKENS: Final = 9_000
 OFFICE_PREFIX_TOKENS: Final = 1_500
 MAX_NEGOTIATION_TURNS: Final = 60
 CUSTOMERS: Final = 20
 
 
 class Arrival(NamedTuple):
-    """One program: when it comes, whose it is, and what it asks."""
+    """The arrival of one program: time in seconds, customer, key and prompt."""
 
-    at: float
+    arrival_s: float
     customer: str
     key: str
     prompt: str
 
 
 class Workload(NamedTuple):
-    """A user's servers, service and programs."""
+    """Servers, service and tool pauses of a user."""
 
     name: str
     servers: tuple[VirtualServer, ...]
@@ -100,54 +101,58 @@
     return tuple(servers)
 
 
-def arrivals(
-    workload: Workload, rate_s: float, seconds: float, seed: int
+def generate_arrivals(
+    workload: Workload, rate_per_s: float, seconds: float, seed: int
 ) -> list[Arrival]:
-    """Programs that arrive at random times at a mean rate."""
+    """Return Poisson arrivals of programs at a mean rate."""
     random = Random(seed)
-    make = _appraisal if workload.name == "office" else _negotiation
-    found: list[Arrival] = []
-    at = random.expovariate(rate_s)
-    while at < seconds:
-        number = len(found)
-        customer = f"customer-{_skewed(random, CUSTOMERS)}"
-        found.append(Arrival(at, customer, f"k{number}", make(random, number)))
-        at += random.expovariate(rate_s)
-    return found
-
-
-def _skewed(random: Random, count: int) -> int:
-    """Return a number below ``count``; small ones come much more often."""
+    make_prompt = (
+        _appraisal_prompt if workload.name == "office" else _negotiation_prompt
+    )
+    result: list[Arrival] = []
+    arrival_s = random.expovariate(rate_per_s)
+    while arrival_s < seconds:
+        number = len(result)
+        customer = f"customer-{_draw_skewed(random, CUSTOMERS)}"
+        result.append(
+            Arrival(arrival_s, customer, f"k{number}", make_prompt(random, number))
+        )
+        arrival_s += random.expovariate(rate_per_s)
+    return result
+
+
+def _draw_skewed(random: Random, count: int) -> int:
+    """Draw a number below ``count``; small numbers are much more frequent."""
     return int(count * random.random() ** 2)
 
 
-def heavy_tailed(random: Random, median: float, sigma: float) -> float:
+def draw_lognormal(random: Random, median: float, sigma: float) -> float:
     """Draw from a lognormal distribution."""
     return median * exp(random.gauss(0.0, sigma))
 
 
-def _text(tag: str, tokens: int) -> str:
-    """Text of about so many tokens."""
+def _filler_text(tag: str, tokens: int) -> str:
+    """Return a text of about this many tokens."""
     return (f"{tag} " * (tokens * BYTES_PER_TOKEN // (len(tag) + 1) + 1)).strip()
 
 
-def _appraisal(random: Random, number: int) -> str:
+def _appraisal_prompt(random: Random, number: int) -> str:
     steps = [f"tool find {number}-{n}" for n in range(random.choice((1, 1, 2, 3)))]
     if random.random() < 0.5:
         steps.append(f"spawn Check the missing-piece list of {number}. words=20")
     if random.random() < 0.4:
         steps.append(f"tool reserve {number}")
-    words = int(min(400, max(10, heavy_tailed(random, 40, 0.7))))
-    description = _text(f"puzzle{number}", int(heavy_tailed(random, 300, 0.8)))
+    words = int(min(400, max(10, draw_lognormal(random, 40, 0.7))))
+    description = _filler_text(f"puzzle{number}", int(draw_lognormal(random, 300, 0.8)))
     return (
-        f"shared: {_text('office', OFFICE_PREFIX_TOKENS)}\n{description}\n"
+        f"shared: {_filler_text('office', OFFICE_PREFIX_TOKENS)}\n{description}\n"
         f"plan: {' | '.join(steps)}\nstepwords=15 words={words}"
     )
 
 
-def _negotiation(random: Random, number: int) -> str:
-    chain = _skewed(random, CHAINS)
-    turns = int(min(MAX_NEGOTIATION_TURNS, max(2, heavy_tailed(random, 8, 0.9))))
+def _negotiation_prompt(random: Random, number: int) -> str:
+    chain = _draw_skewed(random, RIGHTS_CHAINS)
+    turns = int(min(MAX_NEGOTIATION_TURNS, max(2, draw_lognormal(random, 8, 0.9))))
     steps = []
     for turn in range(turns):
         if turn and turn % 7 == 0:
@@ -156,6 +161,6 @@
             steps.append(f"tool chain {number}-{turn}")
     steps.append(f"tool grant {number}")
     return (
-        f"shared: {_text(f'chain{chain}', CHAIN_TOKENS)}\nlabel {number}\n"
-        f"plan: {' | '.join(steps)}\nstepwords=25 words=60"
+        f"shared: {_filler_text(f'chain{chain}', RIGHTS_CHAIN_TOKENS)}\n"
+        f"label {number}\nplan: {' | '.join(steps)}\nstepwords=25 words=60"
     )
