--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""The faults of a soak: drawn from a seed, one after another, some at once."""
+"""Faults of a soak: drawn from a seed, one after another, some concurrently."""
 
 from __future__ import annotations
 
@@ -9,86 +9,86 @@
 
 import anyio
 
-from tests.soak.world import CATCH_UP_S, KEEPERS, World
+from tests.soak.world import CATCH_UP_S, KEEPERS, SoakDeployment
 
-Fault = Callable[[World, random.Random], Coroutine[Any, Any, None]]
+Fault = Callable[[SoakDeployment, random.Random], Coroutine[Any, Any, None]]
 
 
-async def kill_keeper(world: World, draw: random.Random) -> None:
+async def kill_keeper(deployment: SoakDeployment, draw: random.Random) -> None:
     """Kill a keeper; its disk stays."""
     name = draw.choice(KEEPERS)
-    await world.end(name)
+    await deployment.end_process(name)
     await anyio.sleep(draw.uniform(0.0, 1.5))
-    world.start(name)
+    deployment.start(name)
     await anyio.sleep(1.0)
 
 
-async def freeze_keeper(world: World, draw: random.Random) -> None:
-    """Let a keeper stand still; it wakes with an old view."""
+async def freeze_keeper(deployment: SoakDeployment, draw: random.Random) -> None:
+    """Freeze a keeper for a while; it resumes with an old view."""
     name = draw.choice(KEEPERS)
-    world.signal(name, signal.SIGSTOP)
+    deployment.signal(name, signal.SIGSTOP)
     await anyio.sleep(draw.uniform(0.5, 2.5))
-    world.signal(name, signal.SIGCONT)
+    deployment.signal(name, signal.SIGCONT)
     await anyio.sleep(1.0)
 
 
-async def wipe_keeper(world: World, draw: random.Random) -> None:
-    """Take a keeper's disk away; the next loss waits until it has caught up."""
+async def wipe_keeper(deployment: SoakDeployment, draw: random.Random) -> None:
+    """Delete the disk of a keeper; wait until it has caught up again."""
     name = draw.choice(KEEPERS)
-    await world.end(name)
-    world.wipe(name)
-    world.start(name)
+    await deployment.end_process(name)
+    deployment.wipe_disk(name)
+    deployment.start(name)
     await anyio.sleep(CATCH_UP_S)
 
 
-async def kill_relay(world: World, draw: random.Random) -> None:
-    """Kill a relay with all that is open on it."""
-    name = draw.choice(world.relay_names)
-    async with world.relays:
-        await world.end(name)
-        world.start(name)
+async def kill_relay(deployment: SoakDeployment, draw: random.Random) -> None:
+    """Kill a relay with its open connections."""
+    name = draw.choice(deployment.relay_names)
+    async with deployment.relay_lock:
+        await deployment.end_process(name)
+        deployment.start(name)
 
 
-async def stop_relay(world: World, draw: random.Random) -> None:
-    """Stop a relay as planned; it ends by itself once it has nothing to do."""
-    name = draw.choice(world.relay_names)
-    async with world.relays:
-        await world.end(name, signal.SIGTERM)
-        world.start(name)
+async def stop_relay(deployment: SoakDeployment, draw: random.Random) -> None:
+    """Stop a relay as planned; it exits when it has no active requests."""
+    name = draw.choice(deployment.relay_names)
+    async with deployment.relay_lock:
+        await deployment.end_process(name, signal.SIGTERM)
+        deployment.start(name)
 
 
-async def reload_all(world: World, draw: random.Random) -> None:
-    """Tell every process that its settings have changed."""
-    for name in world.machines:
-        world.signal(name, signal.SIGHUP)
+async def reload_all(deployment: SoakDeployment, draw: random.Random) -> None:
+    """Send every process SIGHUP, which reloads its settings."""
+    for name in deployment.machines:
+        deployment.signal(name, signal.SIGHUP)
 
 
-async def kill_everything(world: World, draw: random.Random) -> None:
-    """Kill all processes at the same moment; all disks stay."""
-    async with world.relays:
-        world.kill_all()
-        for name in world.machines:
-            world.start(name)
+async def kill_all_processes(deployment: SoakDeployment, draw: random.Random) -> None:
+    """Kill all processes at the same time; all disks stay."""
+    async with deployment.relay_lock:
+        deployment.kill_all()
+        for name in deployment.machines:
+            deployment.start(name)
     await anyio.sleep(1.0)
 
 
-async def store_away(world: World, draw: random.Random) -> None:
-    """Have the store refuse every call for a while."""
-    with world.witness.unplanned():
-        world.store.down = True
+async def take_store_down(deployment: SoakDeployment, draw: random.Random) -> None:
+    """Have the store reject every call for a while."""
+    with deployment.checker.record_unplanned():
+        deployment.store.down = True
         await anyio.sleep(draw.uniform(0.5, 2.5))
-        world.store.down = False
+        deployment.store.down = False
 
 
-async def store_loses_answers(world: World, draw: random.Random) -> None:
-    """Have the store write and not answer, a few times."""
-    world.store.responses_to_drop = draw.randint(1, 3)
+async def drop_store_responses(deployment: SoakDeployment, draw: random.Random) -> None:
+    """Have the store drop its response to a few writes."""
+    deployment.store.responses_to_drop = draw.randint(1, 3)
 
 
-async def store_forgets(world: World, draw: random.Random) -> None:
-    """Have the store drop its history and cut its watches."""
-    with world.witness.unplanned():
-        world.store.forget_history()
+async def compact_store(deployment: SoakDeployment, draw: random.Random) -> None:
+    """Have the store drop its history and close its watches."""
+    with deployment.checker.record_unplanned():
+        deployment.store.forget_history()
 
 
 FAULTS: Final[tuple[Fault, ...]] = (
@@ -98,31 +98,33 @@
     kill_relay,
     stop_relay,
     reload_all,
-    kill_everything,
-    store_away,
-    store_loses_answers,
-    store_forgets,
+    kill_all_processes,
+    take_store_down,
+    drop_store_responses,
+    compact_store,
 )
-# Faults that may strike while another one lasts.
-BESIDE: Final[tuple[Fault, ...]] = (
+# Faults that may be injected during another one.
+CONCURRENT_FAULTS: Final[tuple[Fault, ...]] = (
     kill_relay,
-    store_away,
-    store_loses_answers,
-    store_forgets,
+    take_store_down,
+    drop_store_responses,
+    compact_store,
     reload_all,
 )
 
 
-async def strike(world: World, draw: random.Random, count: int) -> list[str]:
-    """Let faults strike; return their names in order."""
-    names: list[str] = []
+async def inject_faults(
+    deployment: SoakDeployment, draw: random.Random, count: int
+) -> list[str]:
+    """Inject faults one after another; return their names in order."""
+    fault_names: list[str] = []
     for _ in range(count):
         await anyio.sleep(draw.uniform(0.1, 0.6))
-        together = [draw.choice(FAULTS)]
+        drawn = [draw.choice(FAULTS)]
         if draw.random() < 0.4:
-            together.append(draw.choice(BESIDE))
-        names.append("+".join(fault.__name__ for fault in together))
+            drawn.append(draw.choice(CONCURRENT_FAULTS))
+        fault_names.append("+".join(fault.__name__ for fault in drawn))
         async with anyio.create_task_group() as group:
-            for fault in together:
-                group.start_soon(fault, world, draw)
-    return names
+            for fault in drawn:
+                group.start_soon(fault, deployment, draw)
+    return fault_names
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,11 +1,11 @@
 """Runs soaks: ``python -m tests.soak.run --seed 1 --count 20``, or ``make soak``.
 
-Each seed starts three keepers and some relays as processes, before a store and servers
-that misbehave; callers play programs against the relays while faults strike.  With
-``--stops`` the faults are planned work in series and overlapping, and callers keep
-their channels.  At the end everything must be served again.  A seed that breaks a
-promise, or is not served at the end, is printed with what was broken and keeps its
-folder with the logs.
+Each seed starts three keepers and some relays as processes, with a store and servers
+that misbehave.  Callers run programs against the relays while faults are injected.
+With ``--stops`` the faults are planned stops, in series and overlapping, and callers
+reuse their connections.  At the end everything must be served again.  If a seed breaks
+a guarantee or is not served at the end, its violations are printed and its folder with
+the logs is retained.
 """
 
 from __future__ import annotations
@@ -24,227 +24,260 @@
 
 from tests.platform.standin_store import standin_store
 from tests.relay.harness import Caller, Reply
-from tests.soak.customers import FLOOD, KEYS, STRANGE_KEY, customer_of
-from tests.soak.faults import strike
-from tests.soak.stops import strike_with_stops
-from tests.soak.witness import MAX_TOKENS, PROMISES, Failure, Turn, Witness
-from tests.soak.world import Variant, World
-
-CALLERS: Final = 6
-FAULTS: Final = 4
-# Each takes the grace period of eight seconds at most, and what strikes beside it.
-STOPS: Final = 3
-# Callers beside stops: two at each relay keep every stage of each stop busy; more than
-# this many are more than the servers have slots for.
+from tests.soak.customers import API_KEYS, FLOODING_CUSTOMER, UNKNOWN_KEY, customer_of
+from tests.soak.faults import inject_faults
+from tests.soak.stops import inject_stops
+from tests.soak.witness import (
+    MAX_TOKENS,
+    NOT_EXECUTED_STATUSES,
+    Failure,
+    PromiseChecker,
+    Turn,
+)
+from tests.soak.world import SoakDeployment, Variant
+
+CALLER_COUNT: Final = 6
+FAULT_COUNT: Final = 4
+# Each takes at most the grace period of 8 s plus the time of concurrent faults.
+STOP_COUNT: Final = 3
+# Limits the callers of a soak with stops.  Two callers for each relay keep every stage
+# of a stop busy; more callers than this exceed the slots of the servers.
 MAX_CALLERS: Final = 20
-# Servers take this many times as long beside stops: half a second at the mean, so that
-# a relay that ends at any moment has requests under way.
-SLOWNESS: Final = 8.0
-# How many requests a kept channel carries: one, a few, or all until the relay ends it.
-KEPT_FOR: Final = (1, 4, 10_000)
-# Share of requests that go on a kept channel, if there is one.
-KEPT_SHARE: Final = 0.8
-# Share of new channels that lead to a relay that is stopping, if there is one: a
-# platform that finds most relays leaving goes on using all of them.
-TO_STOPPING_SHARE: Final = 0.5
-TRIES: Final = 4
-# How often a caller comes back to a program that was interrupted, and its pause before
-# that, in seconds: longer together than processes take to start again.
-RETURNS: Final = 5
-RETURN_PAUSE_S: Final = (0.5, 1.0)
-# Callers go on for so long once new programs are served, in seconds, so that each comes
-# back to the program that the last fault interrupted.
-LAST_RETURN_S: Final = 2.0
-# What a caller waits for an answer before it gives up, in seconds.
-PATIENCE_S: Final = 3.0
-# Everything is served again this long after the last fault, in seconds.  Processes
-# start in about a second, in several on a machine that is busy with other things.
-RECOVER_S: Final = 30.0
-# Callers of the customer that floods, and their pauses and those of who holds no key,
-# in seconds: several times the quota of the one, little of the machine for the other.
-FLOODS: Final = 3
+# With stops, servers take this many times as long: 0.5 s on average, so that a relay
+# has active requests whenever it ends.
+SLOW_FACTOR: Final = 8.0
+# Requests on a reused connection: one, a few, or all until the relay closes it.
+REQUESTS_PER_CONNECTION: Final = (1, 4, 10_000)
+# Probability that a request uses an idle connection, if there is one.
+REUSE_PROBABILITY: Final = 0.8
+# Probability that a new connection goes to a stopping relay, if there is one: a
+# platform continues to use all relays when most of them are leaving.
+STOPPING_RELAY_PROBABILITY: Final = 0.5
+MAX_ATTEMPTS: Final = 4
+# Attempts to resume an interrupted program, and the range of pauses before each in
+# seconds.  Together they are longer than a restart of processes.
+MAX_RESUMPTIONS: Final = 5
+RESUMPTION_PAUSE_S: Final = (0.5, 1.0)
+# Callers continue for this long after new programs are served, so that each resumes
+# the program that the last fault interrupted.
+LAST_RESUMPTION_S: Final = 2.0
+# Time that a caller waits for a response.
+CALLER_TIMEOUT_S: Final = 3.0
+# Time after the last fault in which everything must be served again.  Processes start
+# in about 1 s, and in several seconds on a busy machine.
+RECOVERY_TIMEOUT_S: Final = 30.0
+# The callers of the flooding customer send several times its quota.  The pauses of the
+# caller with an unknown key are longer, so that it uses little of the machine.
+FLOODING_CALLER_COUNT: Final = 3
 FLOOD_PAUSE_S: Final = 0.03
-INTRUDE_PAUSE_S: Final = 0.3
+UNKNOWN_KEY_PAUSE_S: Final = 0.3
 
 
 class Result(NamedTuple):
-    """What a soak showed.
+    """Result of one seed.
 
     Attributes
     ----------
     stops : int
-        Planned stops.
-    held_up : int
-        Spans of a quarter of a second in which the machine held some process up.
+        Number of planned stops.
+    starved_count : int
+        Intervals of 0.25 s in which some process waited too long for a processor.
     excused : list of str
-        Failures during planned stops that something unplanned excuses.
+        Failures during planned stops that are excused by an unplanned event.
     """
 
     seed: int
     faults: list[str]
-    answers: dict[int, int]
+    status_counts: dict[int, int]
     stops: int
-    held_up: int
+    starved_count: int
     excused: list[str]
-    broken: list[str]
+    violations: list[str]
 
 
-class Channel(NamedTuple):
-    """A caller's channel to a relay, and how many requests it still carries."""
+class RelayConnection(NamedTuple):
+    """A connection of a caller to a relay, and the requests it may still send."""
 
     relay: str
     caller: Caller
-    left: int
+    requests_left: int
 
 
 class Callers:
-    """Plays programs.
+    """Callers that run programs.
 
     Parameters
     ----------
-    keep : bool
-        Channels are used again, as long as the relay allows.
+    reuse_connections : bool
+        Whether connections are reused until the relay closes them.
     """
 
     def __init__(
-        self, world: World, witness: Witness, draw: random.Random, keep: bool = False
+        self,
+        deployment: SoakDeployment,
+        checker: PromiseChecker,
+        draw: random.Random,
+        reuse_connections: bool = False,
     ) -> None:
         self.stopped = False
-        self._keep = keep
-        self._kept: list[Channel] = []
-        self._world = world
-        self._witness = witness
+        self._reuse_connections = reuse_connections
+        self._idle_connections: list[RelayConnection] = []
+        self._deployment = deployment
+        self._checker = checker
         self._draw = draw
-        self._ids = 0
-        # Programs that got a last word: 402 or 404.
-        self._over: set[str] = set()
+        self._id_count = 0
+        # Programs that ended with status 402 or 404.
+        self._ended_programs: set[str] = set()
 
-    async def play(self, caller: str) -> None:
-        """Play one program after another until stopped."""
+    async def run_programs(self, caller: str) -> None:
+        """Run one program after another until stopped."""
         number = 0
         while not self.stopped:
             number += 1
-            await self.program(f"{caller}-{number}")
+            await self.run_program(f"{caller}-{number}")
 
-    async def program(self, name: str) -> bool:
-        """Play one program; True if all of it was served."""
+    async def run_program(self, program: str) -> bool:
+        """Run one program; return whether all its turns were served."""
         budget = self._draw.choice((400, 5_000))
-        said = previous = ""
+        history = previous_id = ""
         for _ in range(self._draw.randint(2, 5)):
-            turn = await self._turn(name, budget, previous, said)
-            for _ in range(RETURNS if previous else 0):
-                if turn is not None or name in self._over or self.stopped:
+            turn = await self._send_turn(program, budget, previous_id, history)
+            for _ in range(MAX_RESUMPTIONS if previous_id else 0):
+                if turn is not None or program in self._ended_programs or self.stopped:
                     break
-                await anyio.sleep(self._draw.uniform(*RETURN_PAUSE_S))
-                turn = await self._turn(name, budget, previous, said)
+                await anyio.sleep(self._draw.uniform(*RESUMPTION_PAUSE_S))
+                turn = await self._send_turn(program, budget, previous_id, history)
             if turn is None:
                 return False
-            previous, said = turn.id, turn.said_after()
-            await self._call(self._draw.choice(("safe", "unsafe")), customer_of(name))
+            previous_id, history = turn.id, turn.history_after()
+            await self._send_call(
+                self._draw.choice(("safe", "unsafe")), customer_of(program)
+            )
         return True
 
-    async def _turn(
-        self, program: str, budget: int, previous: str, said: str
+    async def _send_turn(
+        self, program: str, budget: int, previous_id: str, history: str
     ) -> Turn | None:
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             turn_id = self._next_id("t")
-            turn = Turn(turn_id, program, previous, said, f"ask {turn_id}.")
-            self._witness.sends_turn(turn, budget)
-            more = {"X_Previous_Turn": previous} if previous else {}
-            more |= self._key(turn.id, customer_of(program))
-            reply = await self._ask(
+            turn = Turn(turn_id, program, previous_id, history, f"ask {turn_id}.")
+            self._checker.record_turn(turn, budget)
+            extra_headers = {"X_Previous_Turn": previous_id} if previous_id else {}
+            extra_headers |= self._auth_header(turn.id, customer_of(program))
+            reply = await self._send(
                 "turn",
                 turn.id,
-                turn.new,
+                turn.message,
                 X_Program_Id=program,
                 X_Token_Usage=f"10,{MAX_TOKENS}",
                 X_Token_Budget=str(budget),
-                **more,
+                **extra_headers,
             )
             if reply.status == 200 and reply.whole:
                 return turn
             if reply.status in (402, 404):
-                self._over.add(program)
+                self._ended_programs.add(program)
                 return None
             await anyio.sleep(self._draw.uniform(0.1, 0.4))
         return None
 
-    async def flood(self) -> None:
-        """Send far more for one customer than its quota, until stopped."""
+    async def flood_requests(self) -> None:
+        """Send requests of one customer far above its quota, until stopped."""
         while not self.stopped:
-            await self._call("unsafe", FLOOD)
+            await self._send_call("unsafe", FLOODING_CUSTOMER)
             await anyio.sleep(FLOOD_PAUSE_S)
 
-    async def intrude(self) -> None:
-        """Send requests with a key that nobody holds, until stopped.
+    async def send_unknown_key(self) -> None:
+        """Send requests with an API key of no customer, until stopped.
 
-        They are not among those that callers have sent: none of them may run.
+        They are not recorded as sent, so the checker reports any that is executed.
         """
         while not self.stopped:
-            key = {"Authorization": f"Bearer {STRANGE_KEY}"}
-            reply = await self._ask("unsafe", self._next_id("x"), "", **key)
+            key = {"Authorization": f"Bearer {UNKNOWN_KEY}"}
+            reply = await self._send("unsafe", self._next_id("x"), "", **key)
             if reply.status == 200:
-                self._witness.broken.append("key: a strange one was served")
-            await anyio.sleep(INTRUDE_PAUSE_S)
+                self._checker.violations.append(
+                    "key: a request with an unknown key was served"
+                )
+            await anyio.sleep(UNKNOWN_KEY_PAUSE_S)
 
-    async def _call(self, kind: str, customer: str) -> None:
+    async def _send_call(self, kind: str, customer: str) -> None:
         request_id = self._next_id(kind[0])
-        self._witness.sends(request_id, kind)
-        await self._ask(kind, request_id, "", **self._key(request_id, customer))
+        self._checker.record_request(request_id, kind)
+        await self._send(
+            kind, request_id, "", **self._auth_header(request_id, customer)
+        )
 
-    def _key(self, request_id: str, customer: str) -> dict[str, str]:
-        self._witness.belongs(request_id, customer)
-        return {"Authorization": f"Bearer {KEYS[customer]}"}
+    def _auth_header(self, request_id: str, customer: str) -> dict[str, str]:
+        self._checker.record_customer(request_id, customer)
+        return {"Authorization": f"Bearer {API_KEYS[customer]}"}
 
-    async def _ask(self, route: str, request_id: str, body: str, **more: str) -> Reply:
+    async def _send(
+        self, route: str, request_id: str, body: str, **extra_headers: str
+    ) -> Reply:
         reply = Reply(0, "", b"", False)
-        channel = await self._channel()
-        if channel is not None:
-            sent = 0.0
+        conn = await self._take_connection()
+        if conn is not None:
+            sent_at = 0.0
             try:
-                with anyio.move_on_after(PATIENCE_S):
-                    await channel.caller.send(route, request_id, body, **more)
-                    sent = time.monotonic()
-                    reply = await channel.caller.read()
+                with anyio.move_on_after(CALLER_TIMEOUT_S):
+                    await conn.caller.send(route, request_id, body, **extra_headers)
+                    sent_at = time.monotonic()
+                    reply = await conn.caller.read()
             except (ConnectionError, asyncio.IncompleteReadError):
-                # The relay died with the channel: an answer that promises nothing.
+                # The relay ended with the connection: the outcome is unknown.
                 pass
-            answered = reply.whole and reply.status in (200, 401, 404, *PROMISES)
-            if sent and not answered:
+            has_response = reply.whole and reply.status in (
+                200,
+                401,
+                404,
+                *NOT_EXECUTED_STATUSES,
+            )
+            if sent_at and not has_response:
                 now = time.monotonic()
-                self._witness.fails(
-                    Failure(request_id, channel.relay, sent, now, reply.status)
+                self._checker.record_failure(
+                    Failure(request_id, conn.relay, sent_at, now, reply.status)
                 )
             closes = not reply.whole or "connection: close" in reply.head.lower()
-            if closes or channel.left <= 1:
-                channel.caller.writer.close()
+            if closes or conn.requests_left <= 1:
+                conn.caller.writer.close()
             else:
-                self._kept.append(channel._replace(left=channel.left - 1))
-        self._witness.answered(request_id, reply.status, reply.body, reply.whole)
+                self._idle_connections.append(
+                    conn._replace(requests_left=conn.requests_left - 1)
+                )
+        self._checker.record_response(request_id, reply.status, reply.body, reply.whole)
         return reply
 
-    async def _channel(self) -> Channel | None:
-        """Take a kept channel, or open one."""
+    async def _take_connection(self) -> RelayConnection | None:
+        """Return an idle connection, or open one."""
         draw = self._draw
-        if not self._keep:
-            relay = draw.choice(self._world.relay_names)
-            caller = await self._world.open(relay)
-            return Channel(relay, caller, 1) if caller else None
-        while self._kept and draw.random() < KEPT_SHARE:
-            channel = self._kept.pop(draw.randrange(len(self._kept)))
-            if not channel.caller.reader.at_eof():
-                return channel
-            channel.caller.writer.close()
-        stopping = [n for n in self._world.stopping if n in self._world.relay_names]
-        if not stopping or draw.random() >= TO_STOPPING_SHARE:
-            stopping = list(self._world.relay_names)
+        if not self._reuse_connections:
+            relay = draw.choice(self._deployment.relay_names)
+            caller = await self._deployment.open_connection(relay)
+            return RelayConnection(relay, caller, 1) if caller else None
+        while self._idle_connections and draw.random() < REUSE_PROBABILITY:
+            conn = self._idle_connections.pop(
+                draw.randrange(len(self._idle_connections))
+            )
+            if not conn.caller.reader.at_eof():
+                return conn
+            conn.caller.writer.close()
+        stopping = [
+            n for n in self._deployment.stopping if n in self._deployment.relay_names
+        ]
+        if not stopping or draw.random() >= STOPPING_RELAY_PROBABILITY:
+            stopping = list(self._deployment.relay_names)
         relay = draw.choice(stopping)
-        caller = await self._world.open(relay)
-        return Channel(relay, caller, draw.choice(KEPT_FOR)) if caller else None
+        caller = await self._deployment.open_connection(relay)
+        return (
+            RelayConnection(relay, caller, draw.choice(REQUESTS_PER_CONNECTION))
+            if caller
+            else None
+        )
 
     def _next_id(self, prefix: str) -> str:
-        self._ids += 1
-        return f"{prefix}{self._ids}"
+        self._id_count += 1
+        return f"{prefix}{self._id_count}"
 
 
 async def soak(
@@ -254,56 +287,63 @@
     stops: bool = False,
     relays: int = 2,
 ) -> Result:
-    """Play one seed; with `stops` its faults are planned work and what is beside it."""
+    """Run one seed; with `stops` its faults are planned stops and concurrent faults."""
     draw = random.Random(f"{seed} callers and servers")
-    # A generator of their own: the faults of a seed are the same in each run.
+    # A separate generator makes the faults of a seed the same in each run.
     faults_draw = random.Random(f"{seed} faults")
-    witness = Witness()
+    checker = PromiseChecker()
     async with standin_store() as store:
-        slowness = SLOWNESS if stops else 1.0
-        world = World(folder, store, witness, draw, variant, relays, slowness)
-        await world.start_servers()
-        for name in world.machines:
-            world.start(name)
-        callers = Callers(world, witness, draw, keep=stops)
-        count = min(max(CALLERS, 2 * relays + 4), MAX_CALLERS) if stops else CALLERS
+        slow_factor = SLOW_FACTOR if stops else 1.0
+        deployment = SoakDeployment(
+            folder, store, checker, draw, variant, relays, slow_factor
+        )
+        await deployment.start_servers()
+        for name in deployment.machines:
+            deployment.start(name)
+        callers = Callers(deployment, checker, draw, reuse_connections=stops)
+        caller_count = (
+            min(max(CALLER_COUNT, 2 * relays + 4), MAX_CALLERS)
+            if stops
+            else CALLER_COUNT
+        )
         try:
-            await _until_served(callers, "start")
+            await _wait_served(callers, "start")
             async with anyio.create_task_group() as group:
-                group.start_soon(world.restart_those_that_ended)
-                for _ in range(FLOODS):
-                    group.start_soon(callers.flood)
-                group.start_soon(callers.intrude)
+                group.start_soon(deployment.supervise)
+                for _ in range(FLOODING_CALLER_COUNT):
+                    group.start_soon(callers.flood_requests)
+                group.start_soon(callers.send_unknown_key)
                 if stops:
-                    group.start_soon(world.watch_processor)
-                for number in range(count):
-                    group.start_soon(callers.play, f"p{number}")
+                    group.start_soon(deployment.watch_cpu_starvation)
+                for number in range(caller_count):
+                    group.start_soon(callers.run_programs, f"p{number}")
                 if stops:
-                    faults = await strike_with_stops(world, faults_draw, STOPS)
+                    faults = await inject_stops(deployment, faults_draw, STOP_COUNT)
                 else:
-                    faults = await strike(world, faults_draw, FAULTS)
-                served = await _until_served(callers, "end")
-                await anyio.sleep(LAST_RETURN_S)
+                    faults = await inject_faults(deployment, faults_draw, FAULT_COUNT)
+                served = await _wait_served(callers, "end")
+                await anyio.sleep(LAST_RESUMPTION_S)
                 callers.stopped = True
-                world.stopped = True
+                deployment.stopped = True
             if not served:
-                witness.broken.append(
-                    f"not served {RECOVER_S} s after {faults}: {world.states()}"
+                checker.violations.append(
+                    f"not served {RECOVERY_TIMEOUT_S} s after {faults}: "
+                    f"{deployment.describe_processes()}"
                 )
         finally:
-            world.kill_all()
-            for server in world.servers:
+            deployment.kill_all()
+            for server in deployment.servers:
                 server.stop()
-    broken = witness.judge()
-    answers = dict(witness.answers)
-    counts = (len(witness.stops), len(witness.held_up))
-    return Result(seed, faults, answers, *counts, witness.excused, broken)
+    violations = checker.find_violations()
+    status_counts = dict(checker.status_counts)
+    counts = (len(checker.stops), len(checker.starved_intervals))
+    return Result(seed, faults, status_counts, *counts, checker.excused, violations)
 
 
-async def _until_served(callers: Callers, name: str) -> bool:
-    with anyio.move_on_after(RECOVER_S):
+async def _wait_served(callers: Callers, program_prefix: str) -> bool:
+    with anyio.move_on_after(RECOVERY_TIMEOUT_S):
         number = 0
-        while not await callers.program(f"{name}-{number}"):
+        while not await callers.run_program(f"{program_prefix}-{number}"):
             number += 1
         return True
     return False
@@ -316,26 +356,28 @@
     parser.add_argument("--count", type=int, default=20)
     parser.add_argument("--relays", type=int, default=2)
     parser.add_argument("--stops", action="store_true", help="play planned work")
-    wanted = parser.parse_args()
+    args = parser.parse_args()
     failed = 0
-    for seed in range(wanted.seed, wanted.seed + wanted.count):
+    for seed in range(args.seed, args.seed + args.count):
         folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
-        result = anyio.run(soak, seed, folder, None, wanted.stops, wanted.relays)
-        answers = " ".join(f"{s}:{n}" for s, n in sorted(result.answers.items()))
+        result = anyio.run(soak, seed, folder, None, args.stops, args.relays)
+        status_counts = " ".join(
+            f"{s}:{n}" for s, n in sorted(result.status_counts.items())
+        )
         faults = ", ".join(result.faults)
         print(
             f"seed {seed}: {faults}; stops {result.stops}, held up "
-            f"{result.held_up} times; answers {answers}",
+            f"{result.starved_count} times; answers {status_counts}",
             flush=True,
         )
         for line in result.excused:
             print(f"  excused {line}", flush=True)
-        for line in result.broken:
+        for line in result.violations:
             print(f"  BROKEN {line}; logs in {folder}", flush=True)
-        failed += bool(result.broken)
-        if not result.broken:
+        failed += bool(result.violations)
+        if not result.violations:
             shutil.rmtree(folder)
-    print(f"{wanted.count} seeds, {failed} with a broken promise")
+    print(f"{args.count} seeds, {failed} with a broken promise")
     return 1 if failed else 0
 
 
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak, the seeds that ever failed, and a broken product that it must catch."""
+"""Short soaks, and faulty products that the soak must detect."""
 
 from __future__ import annotations
 
@@ -9,52 +9,56 @@
 import pytest
 
 from tests.soak.run import soak
-from tests.soak.world import FORGETFUL, OBLIGING
+from tests.soak.world import ACCEPTS_UNTIL_END, SKIPS_LOG_REPLAY
 
 
 @pytest.mark.parametrize("seed", [1])
-def test_no_promise_is_broken(seed: int, tmp_path: Path) -> None:
-    """Processes are killed, frozen and wiped, the store is away, answers are lost.
+def test_no_guarantee_is_violated(seed: int, tmp_path: Path) -> None:
+    """Faults of processes, disks and the store violate no guarantee.
 
-    Callers and servers see nothing that was promised not to happen, and everything is
-    served again at the end.
+    Processes are killed, frozen and wiped, the store is down, and its responses are
+    lost.  Everything is served again at the end.
     """
-    assert anyio.run(soak, seed, tmp_path).broken == []
+    assert anyio.run(soak, seed, tmp_path).violations == []
 
 
-def test_a_keeper_that_forgets_at_its_restart_is_caught(tmp_path: Path) -> None:
-    """Keepers start again without reading their logs, and keep their disks' ids.
+def test_a_keeper_that_skips_log_replay_is_detected(tmp_path: Path) -> None:
+    """Keepers restart without reading their logs, but with the ids of their disks.
 
-    Once all have been killed, callers that go on with their programs meet 404 for turns
-    that were answered whole.  The soak must see it.
+    After all have been killed, callers that continue their programs get 404 for turns
+    that were served completely.  The soak must report it.
     """
     for seed in range(100, 110):
         folder = tmp_path / str(seed)
         folder.mkdir()
-        if anyio.run(soak, seed, folder, FORGETFUL).broken:
+        if anyio.run(soak, seed, folder, SKIPS_LOG_REPLAY).violations:
             return
-    pytest.fail("ten seeds did not show it")
+    pytest.fail("ten seeds did not detect it")
 
 
 def test_planned_stops_cut_no_request(tmp_path: Path) -> None:
-    """Relays stop in series and overlapping, beside kills, outages and other stops.
+    """Relays stop in series and overlapping, with kills, outages and other stops.
 
-    Callers keep their channels and go on using relays that are stopping.  What a server
-    began to run before a relay's end is answered whole, and no relay needs the kill.
+    Callers reuse their connections and continue to use stopping relays.  Each request
+    that a server started before the end of a relay gets a complete response, and no
+    relay has to be killed.
     """
-    assert anyio.run(partial(soak, stops=True), 904, tmp_path).broken == []
+    assert anyio.run(partial(soak, stops=True), 904, tmp_path).violations == []
 
 
-def test_a_relay_that_takes_requests_to_its_end_is_caught(tmp_path: Path) -> None:
-    """Relays that are stopping have no last call, as in an incident.
+def test_a_relay_that_accepts_requests_until_its_end_is_detected(
+    tmp_path: Path,
+) -> None:
+    """Stopping relays accept requests until the end of their grace period.
 
-    They cut what is under way when their stop ends by force.  On the code before the
-    mend the same seeds showed it.
+    They cut the active requests when the stop ends by force.  The soak must report it.
     """
     for seed in (902, 951, 952):
         folder = tmp_path / str(seed)
         folder.mkdir()
-        broken = anyio.run(partial(soak, stops=True), seed, folder, OBLIGING).broken
-        if any(line.startswith("cut: ") for line in broken):
+        violations = anyio.run(
+            partial(soak, stops=True), seed, folder, ACCEPTS_UNTIL_END
+        ).violations
+        if any(line.startswith("cut: ") for line in violations):
             return
-    pytest.fail("three seeds did not show it")
+    pytest.fail("three seeds did not detect it")
--- a/tests/soak/test_witness.py
+++ b/tests/soak/test_witness.py
@@ -1,69 +1,72 @@
-"""What the witness of planned stops takes for broken, and what it excuses."""
+"""Which failures during planned stops the checker reports, and which it excuses."""
 
 from __future__ import annotations
 
-from tests.soak.witness import Failure, Witness
+from tests.soak.witness import Failure, PromiseChecker
 
 
-def _judged(failure: Failure, *, ran: bool) -> list[list[str]]:
-    """Return what is broken and what is excused by a failure at a relay.
+def _check_failure(failure: Failure, *, ran: bool) -> list[list[str]]:
+    """Return the labels of the violations and of the excused failures.
 
-    It is told to stop at second 10 and ends at 15; the machine holds something up from
-    second 2 to 3.
+    The relay is signalled to stop at second 10 and ends at 15.  A process waits for a
+    processor from second 2 to 3.
     """
-    witness = Witness()
-    witness.sends(failure.id, "unsafe")
+    checker = PromiseChecker()
+    checker.record_request(failure.id, "unsafe")
     if ran:
-        witness.runs(failure.id, "")
-    number = witness.stop_begins("relay-1", 10.0)
-    witness.held_up.append((2.0, 3.0))
-    witness.fails(failure)
-    witness.stop_ends(number, 15.0)
+        checker.record_execution(failure.id, "")
+    number = checker.record_stop_start("relay-1", 10.0)
+    checker.starved_intervals.append((2.0, 3.0))
+    checker.record_failure(failure)
+    checker.record_stop_end(number, 15.0)
     return [
         [line.partition(":")[0] for line in lines]
-        for lines in (witness.judge(), witness.excused)
+        for lines in (checker.find_violations(), checker.excused)
     ]
 
 
-def test_a_request_that_ran_is_answered_whole() -> None:
-    """Only a relay that was told to stop is judged, within a caller's own time."""
+def test_an_executed_request_gets_a_complete_response() -> None:
+    """Only failures at a stopping relay, within the wait of the caller, count."""
     cut = Failure("u1", "relay-1", 12.0, 12.1, 0)
-    assert _judged(cut, ran=True) == [["cut"], []]
-    assert _judged(cut._replace(status=502), ran=True) == [["cut"], []]
+    assert _check_failure(cut, ran=True) == [["cut"], []]
+    assert _check_failure(cut._replace(status=502), ran=True) == [["cut"], []]
     # Sent before the signal, cut after it.
-    assert _judged(cut._replace(sent=9.0, ended=10.5), ran=True) == [["cut"], []]
+    assert _check_failure(cut._replace(sent_at=9.0, ended_at=10.5), ran=True) == [
+        ["cut"],
+        [],
+    ]
     for allowed in (
         cut._replace(relay="relay-2"),
-        cut._replace(ended=14.0),
-        cut._replace(sent=16.0, ended=16.1),
-        cut._replace(sent=8.0, ended=8.5),
+        cut._replace(ended_at=14.0),
+        cut._replace(sent_at=16.0, ended_at=16.1),
+        cut._replace(sent_at=8.0, ended_at=8.5),
     ):
-        assert _judged(allowed, ran=True) == [[], []]
+        assert _check_failure(allowed, ran=True) == [[], []]
 
 
-def test_a_channel_ends_soon_or_with_an_answer() -> None:
-    """A request that crosses the end of its channel is no loss."""
+def test_a_connection_ends_soon_or_with_a_response() -> None:
+    """A request that crosses the end of its connection is not a violation."""
     crossing = Failure("u1", "relay-1", 12.0, 12.1, 0)
-    assert _judged(crossing, ran=False) == [[], []]
-    assert _judged(crossing._replace(ended=12.3), ran=False) == [["held"], []]
+    assert _check_failure(crossing, ran=False) == [[], []]
+    assert _check_failure(crossing._replace(ended_at=12.3), ran=False) == [["held"], []]
 
 
-def test_what_something_unplanned_may_have_caused_is_excused() -> None:
-    """From three seconds after it a failure counts again."""
+def test_a_failure_near_an_unplanned_event_is_excused() -> None:
+    """Failures count again from 3 s after the event."""
     near = Failure("u1", "relay-1", 9.5, 10.5, 0)
-    witness = Witness()
-    witness.runs("u1", "")
-    witness.broken.clear()
-    witness.stop_begins("relay-1", 10.0)
-    witness.held_up.append((6.0, 6.6))
-    witness.fails(near)
-    witness.fails(near._replace(sent=9.7))
-    assert [line.partition(":")[0] for line in witness.judge()] == ["cut"]
-    assert [line.partition(":")[0] for line in witness.excused] == ["cut"]
+    checker = PromiseChecker()
+    checker.record_execution("u1", "")
+    checker.violations.clear()
+    checker.record_stop_start("relay-1", 10.0)
+    checker.starved_intervals.append((6.0, 6.6))
+    checker.record_failure(near)
+    checker.record_failure(near._replace(sent_at=9.7))
+    assert [line.partition(":")[0] for line in checker.find_violations()] == ["cut"]
+    assert [line.partition(":")[0] for line in checker.excused] == ["cut"]
 
 
-def test_a_process_that_needs_the_kill_is_told() -> None:
-    """Unless the machine held something up at that moment."""
-    witness = Witness()
-    witness.stop_fails(witness.stop_begins("relay-1", 10.0))
-    assert witness.judge() == ["stop: relay-1 had to be killed"]
+def test_a_process_that_has_to_be_killed_is_reported() -> None:
+    """It is excused only if a process waited for a processor at that moment."""
+    checker = PromiseChecker()
+    checker.record_forced_kill(checker.record_stop_start("relay-1", 10.0))
+    assert checker.find_violations() == ["stop: relay-1 had to be killed"]
--- a/tests/soak/witness.py
+++ b/tests/soak/witness.py
@@ -1,8 +1,8 @@
-"""What callers and servers saw of a soak, and the promises that it must not break.
+"""Checks what callers and servers observe in a soak against the guarantees.
 
-Callers and servers are outside of the product: what they saw on their sockets is all
-that is judged.  What an answer must be follows from the request's id alone, so that a
-whole answer can be checked without asking the server that gave it.
+Only what callers and servers see on their sockets is checked, nothing inside the
+product.  The id of a request determines its expected response, so that a complete
+response can be checked without the server that sent it.
 """
 
 from __future__ import annotations
@@ -14,58 +14,59 @@
 from contextlib import contextmanager
 from typing import Final, NamedTuple
 
-from tests.soak.customers import FLOOD, MAX_IN_A_WINDOW, WINDOW_S
+from tests.soak.customers import FLOODING_CUSTOMER, MAX_IN_A_WINDOW, WINDOW_S
 from tests.windows import max_in_a_window
 
 TOKENS_PER_EVENT: Final = 25
 MAX_EVENTS: Final = 6
 MAX_TOKENS: Final = TOKENS_PER_EVENT * MAX_EVENTS
-# A planned stop excuses no failure unless something unplanned happened, anywhere, from
-# this long before the request was sent to its end, in seconds: ``contactMs``, after
-# which machines count as in touch again.  It covers the restart of what was killed.
+# A failure during a planned stop is excused only if an unplanned event happened on any
+# machine, from this long before the request was sent until its end.  The value is
+# ``contactMs``, after which machines count as connected again; it covers the restart of
+# a killed process.
 CONTACT_S: Final = 3.0
-# What a caller says it will wait, less what clocks and sockets blur, in seconds:
-# nothing is promised once this time is over.  No route's own time is shorter.
-OWN_TIME_S: Final = 2.0 - 0.1
-# A channel may end without an answer this long after the last byte of a request, in
-# seconds: ``lossSlackMs``.
+# The time that a caller offers to wait, less the tolerance of clocks and sockets.
+# Nothing is guaranteed after it.  No time-out of a route is shorter.
+CALLER_WAIT_S: Final = 2.0 - 0.1
+# A connection may end without a response this long after the last byte of a request:
+# ``lossSlackMs``.
 LOSS_SLACK_S: Final = 0.2
-# Answers that promise that the request has not run and never will.
-PROMISES: Final = (402, 408, 421, 429, 503)
+# Statuses that guarantee that the request has not been executed and never will be.
+NOT_EXECUTED_STATUSES: Final = (402, 408, 421, 429, 503)
 
 
 def plain_answer(request_id: str) -> str:
-    """Return what a plain service answers."""
+    """Return the response body of a plain service."""
     return f"answer to {request_id}"
 
 
 def event_data(request_id: str) -> list[str]:
-    """Return the data of the events that an engine answers."""
+    """Return the data of the events that an engine sends."""
     count = random.Random(request_id).randint(2, MAX_EVENTS)
     return [f"{request_id} says {number}" for number in range(1, count + 1)]
 
 
 def stream_body(request_id: str) -> bytes:
-    """Return the whole stream that a caller gets."""
+    """Return the complete stream that a caller receives."""
     events = enumerate(event_data(request_id), start=1)
     return "".join(f"id: {n}\ndata: {data}\n\n" for n, data in events).encode()
 
 
 class Turn(NamedTuple):
-    """A turn that a caller sends: its chain decides what the server must get."""
+    """A turn that a caller sends; its chain determines the prompt."""
 
     id: str
     program: str
-    previous: str
-    said_before: str
-    new: str
+    previous_id: str
+    history: str
+    message: str
 
     def prompt(self) -> str:
-        """Return what the server must be sent."""
-        return self.said_before + self.new
+        """Return the prompt that the server must receive."""
+        return self.history + self.message
 
-    def said_after(self) -> str:
-        """Return what the next turn of the chain must begin with."""
+    def history_after(self) -> str:
+        """Return the history that the next turn of the chain must start with."""
         events = "".join(f"{data}\n" for data in event_data(self.id))
         return self.prompt() + events
 
@@ -74,189 +75,219 @@
     """A planned stop of a process, from its signal to its end."""
 
     name: str
-    began: float
-    ended: float
+    started_at: float
+    ended_at: float
 
 
 class Failure(NamedTuple):
-    """A request that was wholly sent and got neither a whole answer nor a promise."""
+    """A completely sent request without a complete response or a guaranteed status."""
 
     id: str
     relay: str
-    sent: float
-    ended: float
+    sent_at: float
+    ended_at: float
     status: int
 
 
-def _near(spans: list[tuple[float, float]], since: float, until: float) -> bool:
-    """Return whether a span is within a time, or was shortly before it."""
-    return any(s <= until and since - CONTACT_S <= u for s, u in spans)
+def _overlaps_recently(
+    intervals: list[tuple[float, float]], since: float, until: float
+) -> bool:
+    """Return whether an interval overlaps a time span or ended shortly before it."""
+    return any(start <= until and since - CONTACT_S <= end for start, end in intervals)
 
 
-class Witness:
-    """Collects what was seen and tells which promises were broken."""
+class PromiseChecker:
+    """Records requests, executions and stops, and finds the violated guarantees."""
 
     def __init__(self) -> None:
-        self.broken: list[str] = []
-        self.answers: dict[int, int] = defaultdict(int)
-        self._sent: dict[str, str] = {}
+        self.violations: list[str] = []
+        self.status_counts: dict[int, int] = defaultdict(int)
+        self._kind_of_request: dict[str, str] = {}
         self._turns: dict[str, Turn] = {}
-        self._whole: set[str] = set()
-        self._runs: dict[str, int] = defaultdict(int)
-        self._refused: dict[str, int] = {}
+        self._complete_turns: set[str] = set()
+        self._execution_counts: dict[str, int] = defaultdict(int)
+        self._rejected: dict[str, int] = {}
         self._budgets: dict[str, int] = {}
-        self._handed: dict[str, int] = defaultdict(int)
+        self._delivered_tokens: dict[str, int] = defaultdict(int)
         self.stops: list[Stop] = []
         self._failures: list[Failure] = []
-        self._broke_off: set[str] = set()
-        self._unplanned: list[tuple[float, float]] = []
-        # When the machine gave some process no processor: unplanned as well.
-        self.held_up: list[tuple[float, float]] = []
-        # Failures during stops that something unplanned excuses.
+        self._reset_requests: set[str] = set()
+        self._unplanned_intervals: list[tuple[float, float]] = []
+        # When some process waited too long for a processor; unplanned as well.
+        self.starved_intervals: list[tuple[float, float]] = []
+        # Failures during stops that are excused by an unplanned event.
         self.excused: list[str] = []
-        self._killed: list[Stop] = []
-        self._customers: dict[str, str] = {}
-        # When servers began to work for the customer that floods.
-        self._flooded: list[float] = []
+        self._killed_stops: list[Stop] = []
+        self._customer_of_request: dict[str, str] = {}
+        # When servers started requests of the flooding customer.
+        self._flood_times: list[float] = []
 
-    # What callers see
+    # Callers
 
-    def sends(self, request_id: str, kind: str) -> None:
-        """Note a request of a caller before it is sent."""
-        self._sent[request_id] = kind
+    def record_request(self, request_id: str, kind: str) -> None:
+        """Record a request before it is sent."""
+        self._kind_of_request[request_id] = kind
 
-    def belongs(self, request_id: str, customer: str) -> None:
-        """Note whose key a request carries."""
-        self._customers[request_id] = customer
+    def record_customer(self, request_id: str, customer: str) -> None:
+        """Record the customer whose API key a request contains."""
+        self._customer_of_request[request_id] = customer
 
-    def sends_turn(self, turn: Turn, budget: int) -> None:
-        """Note a turn of a caller before it is sent."""
-        self.sends(turn.id, "turn")
+    def record_turn(self, turn: Turn, budget: int) -> None:
+        """Record a turn before it is sent."""
+        self.record_request(turn.id, "turn")
         self._turns[turn.id] = turn
         self._budgets[turn.program] = budget
 
-    def answered(self, request_id: str, status: int, body: bytes, whole: bool) -> None:
-        """Note what a caller got; a status of 0 is a channel that ended without one."""
-        self.answers[status] += 1
-        if status in PROMISES:
-            self._refused[request_id] = status
-        if status == 401 and request_id in self._customers:
-            self.broken.append(f"denied: {request_id} with a customer's key")
+    def record_response(
+        self, request_id: str, status: int, body: bytes, is_complete: bool
+    ) -> None:
+        """Check and record a response; status 0 means that none was received."""
+        self.status_counts[status] += 1
+        if status in NOT_EXECUTED_STATUSES:
+            self._rejected[request_id] = status
+        if status == 401 and request_id in self._customer_of_request:
+            self.violations.append(f"denied: {request_id} with a customer's key")
         turn = self._turns.get(request_id)
         if turn is None:
             if status == 200 and body != plain_answer(request_id).encode():
-                self.broken.append(f"mixed: {request_id} got {body!r}")
+                self.violations.append(f"mixed: {request_id} got {body!r}")
             return
-        if status == 404 and (not turn.previous or turn.previous in self._whole):
-            self.broken.append(f"lost: {turn.id} of {turn.program} after a whole turn")
+        if status == 404 and (
+            not turn.previous_id or turn.previous_id in self._complete_turns
+        ):
+            self.violations.append(
+                f"lost: {turn.id} of {turn.program} after a whole turn"
+            )
         if status != 200:
             return
-        self._handed[turn.program] += body.count(b"\n\n") * TOKENS_PER_EVENT
+        self._delivered_tokens[turn.program] += body.count(b"\n\n") * TOKENS_PER_EVENT
         expected = stream_body(turn.id)
-        if whole:
-            self._whole.add(turn.id)
-        if (whole and body != expected) or not expected.startswith(body):
-            self.broken.append(f"order: {turn.id} got {body!r}, whole {whole}")
+        if is_complete:
+            self._complete_turns.add(turn.id)
+        if (is_complete and body != expected) or not expected.startswith(body):
+            self.violations.append(
+                f"order: {turn.id} got {body!r}, whole {is_complete}"
+            )
 
-    def fails(self, failure: Failure) -> None:
-        """Note a request whose caller was left without a whole answer or a promise."""
+    def record_failure(self, failure: Failure) -> None:
+        """Record a request without a complete response or a guaranteed status."""
         self._failures.append(failure)
 
-    # What the operators do
+    # Operators
 
-    def stop_begins(self, name: str, now: float) -> int:
-        """Note the signal of a planned stop; return the stop's number."""
+    def record_stop_start(self, name: str, now: float) -> int:
+        """Record the signal of a planned stop; return the number of the stop."""
         self.stops.append(Stop(name, now, float("inf")))
         return len(self.stops) - 1
 
-    def stop_ends(self, number: int, now: float) -> None:
-        """Note that the process has ended."""
-        self.stops[number] = self.stops[number]._replace(ended=now)
+    def record_stop_end(self, number: int, now: float) -> None:
+        """Record that the process has ended."""
+        self.stops[number] = self.stops[number]._replace(ended_at=now)
 
-    def stop_fails(self, number: int) -> None:
-        """Note that the process had to be killed."""
-        self._killed.append(self.stops[number]._replace(ended=time.monotonic()))
+    def record_forced_kill(self, number: int) -> None:
+        """Record that the process had to be killed."""
+        self._killed_stops.append(
+            self.stops[number]._replace(ended_at=time.monotonic())
+        )
 
     @contextmanager
-    def unplanned(self) -> Iterator[None]:
-        """Note that something unplanned happens meanwhile."""
-        began = time.monotonic()
+    def record_unplanned(self) -> Iterator[None]:
+        """Record an unplanned event that lasts for the duration of the context."""
+        started_at = time.monotonic()
         try:
             yield
         finally:
-            self._unplanned.append((began, time.monotonic()))
+            self._unplanned_intervals.append((started_at, time.monotonic()))
 
-    # What servers see
+    # Servers
 
-    def runs(self, request_id: str, body: str) -> None:
-        """Note that a server begins to work on a request."""
-        self._runs[request_id] += 1
-        kind = self._sent.get(request_id)
+    def record_execution(self, request_id: str, body: str) -> None:
+        """Check and record that a server starts to execute a request."""
+        self._execution_counts[request_id] += 1
+        kind = self._kind_of_request.get(request_id)
         if kind is None:
-            self.broken.append(f"unasked: {request_id}")
-        elif kind != "safe" and self._runs[request_id] > 1:
-            self.broken.append(f"twice: {request_id} of kind {kind}")
+            self.violations.append(f"unasked: {request_id}")
+        elif kind != "safe" and self._execution_counts[request_id] > 1:
+            self.violations.append(f"twice: {request_id} of kind {kind}")
         turn = self._turns.get(request_id)
         if turn is not None and body != turn.prompt():
-            self.broken.append(f"chain: {request_id} ran with {body!r}")
-
-    def runs_for(self, request_id: str, customer: str, key: str) -> None:
-        """Note whom a server is told that it works for, and with what key."""
-        asked = self._customers.get(request_id, "")
-        if customer != asked:
-            self.broken.append(f"customer: {request_id} of {asked} ran for {customer}")
+            self.violations.append(f"chain: {request_id} ran with {body!r}")
+
+    def record_execution_customer(
+        self, request_id: str, customer: str, key: str
+    ) -> None:
+        """Check the customer and the API key in the headers that a server receives."""
+        expected_customer = self._customer_of_request.get(request_id, "")
+        if customer != expected_customer:
+            self.violations.append(
+                f"customer: {request_id} of {expected_customer} ran for {customer}"
+            )
         if key:
-            self.broken.append(f"key: passed on with {request_id}")
-        if customer == FLOOD:
-            self._flooded.append(time.monotonic())
-
-    def breaks_off(self, request_id: str) -> None:
-        """Note that a server breaks off an answer by itself."""
-        self._broke_off.add(request_id)
-
-    def _judge_stops(self) -> None:
-        """Look at the requests that failed at a relay that was told to stop."""
-        for stop in self._killed:
-            # Only a process that was held up itself may need longer.
-            held_up = _near(self.held_up, stop.ended, stop.ended)
-            seen = f"stop: {stop.name} had to be killed"
-            (self.excused if held_up else self.broken).append(seen)
+            self.violations.append(f"key: passed on with {request_id}")
+        if customer == FLOODING_CUSTOMER:
+            self._flood_times.append(time.monotonic())
+
+    def record_reset(self, request_id: str) -> None:
+        """Record that a server resets its response deliberately."""
+        self._reset_requests.add(request_id)
+
+    def _check_stops(self) -> None:
+        """Check the stops, and the requests that failed at a stopping relay."""
+        for stop in self._killed_stops:
+            # Excused only if some process was waiting for a processor at that moment.
+            was_starved = _overlaps_recently(
+                self.starved_intervals, stop.ended_at, stop.ended_at
+            )
+            description = f"stop: {stop.name} had to be killed"
+            (self.excused if was_starved else self.violations).append(description)
         for failure in self._failures:
-            took_s = failure.ended - failure.sent
-            began = [
-                stop.began
+            took_s = failure.ended_at - failure.sent_at
+            stop_times = [
+                stop.started_at
                 for stop in self.stops
                 if stop.name == failure.relay
-                and stop.began <= failure.ended
-                and failure.sent <= stop.ended
+                and stop.started_at <= failure.ended_at
+                and failure.sent_at <= stop.ended_at
             ]
-            if not began or took_s >= OWN_TIME_S:
+            if not stop_times or took_s >= CALLER_WAIT_S:
                 continue
-            if self._runs[failure.id] and failure.id not in self._broke_off:
-                what = "cut"
+            if (
+                self._execution_counts[failure.id]
+                and failure.id not in self._reset_requests
+            ):
+                violation_kind = "cut"
             elif not failure.status and took_s > LOSS_SLACK_S:
-                what = "held"
+                violation_kind = "held"
             else:
                 continue
-            since_s = failure.sent - began[0]
-            seen = (
-                f"{what}: {failure.id} at {failure.relay}, sent {since_s:.2f} s after "
+            since_s = failure.sent_at - stop_times[0]
+            description = (
+                f"{violation_kind}: {failure.id} at {failure.relay}, sent {since_s:.2f} s after "
                 f"the signal, status {failure.status} after {took_s:.2f} s"
             )
-            unplanned = [*self._unplanned, *self.held_up]
-            excused = _near(unplanned, failure.sent, failure.ended)
-            (self.excused if excused else self.broken).append(seen)
-
-    def judge(self) -> list[str]:
-        """Return the broken promises, those that only the end shows included."""
-        for request_id, status in self._refused.items():
-            if self._runs[request_id] and self._sent[request_id] != "safe":
-                self.broken.append(f"refused: {request_id} got {status} and has run")
-        self._judge_stops()
-        flooded = max_in_a_window(self._flooded, WINDOW_S)
-        if flooded > MAX_IN_A_WINDOW:
-            self.broken.append(f"quota: {flooded} requests in a window")
-        for program, handed in self._handed.items():
-            if handed > self._budgets[program] + MAX_TOKENS:
-                self.broken.append(f"budget: {program} was handed {handed} tokens")
-        return self.broken
+            unplanned_intervals = [*self._unplanned_intervals, *self.starved_intervals]
+            excused = _overlaps_recently(
+                unplanned_intervals, failure.sent_at, failure.ended_at
+            )
+            (self.excused if excused else self.violations).append(description)
+
+    def find_violations(self) -> list[str]:
+        """Return all violations, after the checks that need the end of the soak."""
+        for request_id, status in self._rejected.items():
+            if (
+                self._execution_counts[request_id]
+                and self._kind_of_request[request_id] != "safe"
+            ):
+                self.violations.append(
+                    f"refused: {request_id} got {status} and has run"
+                )
+        self._check_stops()
+        flood_count = max_in_a_window(self._flood_times, WINDOW_S)
+        if flood_count > MAX_IN_A_WINDOW:
+            self.violations.append(f"quota: {flood_count} requests in a window")
+        for program, delivered_tokens in self._delivered_tokens.items():
+            if delivered_tokens > self._budgets[program] + MAX_TOKENS:
+                self.violations.append(
+                    f"budget: {program} was handed {delivered_tokens} tokens"
+                )
+        return self.violations
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -1,4 +1,4 @@
-"""Processes, servers and store of a soak, each at a loopback address of its own."""
+"""Processes, servers and store of a soak, each at a separate loopback address."""
 
 from __future__ import annotations
 
@@ -21,49 +21,49 @@
 from tests.platform.standin_store import StoreStandin
 from tests.relay.harness import Caller, Exchange, ScriptedServer
 from tests.soak.customers import tenants
-from tests.soak.witness import Witness, event_data, plain_answer
+from tests.soak.witness import PromiseChecker, event_data, plain_answer
 from wisteriastair.standins.deployment import free_address
 
 KEEPERS: Final = ("keeper-1", "keeper-2", "keeper-3")
-# A keeper that lost its disk, or was away for long, is a full replica again after this
-# time, in seconds; only then may the next one be lost.
+# A keeper that lost its disk or was down for long is a complete replica again after
+# this time.  No other keeper may be stopped before.
 CATCH_UP_S: Final = 5.0
 ZONES: Final = 3
 CONFIG_KEY: Final = "op/config"
-# The platform starts a process that has ended again after a short delay, in seconds.
+# The platform restarts an ended process after this delay.
 RESTART_S: Final = 0.2
-# The platform kills a process this long after its SIGTERM, in seconds: ``graceS`` of
-# the settings that the processes get.
+# The platform kills a process this long after its SIGTERM: ``graceS`` in the settings
+# of the processes.
 GRACE_S: Final = 8.0
-# Pause between two looks at whether a process has ended, in seconds.
-LOOK_S: Final = 0.02
-# How often it is looked at how long processes waited for a processor, and the wait in
-# that time from which on the machine held a process up, in seconds: half of the slack
-# that callers are promised, and far less than after which keepers are taken for lost.
-HELD_UP_LOOK_S: Final = 0.25
-HELD_UP_S: Final = 0.1
+# Interval of the checks whether a process has ended.
+EXIT_POLL_S: Final = 0.02
+# Interval in which the time that processes wait for a processor is sampled, and the
+# wait per interval above which a process counts as starved: half of ``lossSlackMs``,
+# and far shorter than the time after which keepers are considered failed.
+STARVATION_CHECK_S: Final = 0.25
+STARVATION_S: Final = 0.1
 
 
 class Variant(NamedTuple):
-    """A broken product that the soak must catch: what runs in a role's processes."""
+    """A faulty product that the soak must detect: the code that a role runs."""
 
     role: str
     code: str
 
 
-# A keeper whose replay of its log is left out.
-FORGETFUL: Final = Variant(
+# A keeper that does not replay its log.
+SKIPS_LOG_REPLAY: Final = Variant(
     "keeper",
     """
 from wisteriastair.keeper.log import Log
 from wisteriastair.main import main
-whole = Log.load
-Log.load = lambda self, now: whole(self, now)._replace(entries=[])
+original_load = Log.load
+Log.load = lambda self, now: original_load(self, now)._replace(entries=[])
 raise SystemExit(main())
 """,
 )
-# A relay that takes requests until its stop ends by force.
-OBLIGING: Final = Variant(
+# A relay that accepts requests until its grace period ends.
+ACCEPTS_UNTIL_END: Final = Variant(
     "relay",
     """
 from wisteriastair.core.stopping import Shutdown
@@ -75,7 +75,7 @@
 
 
 class Machine(NamedTuple):
-    """A machine of the soak."""
+    """A machine of the soak, with one process."""
 
     name: str
     role: str
@@ -84,20 +84,20 @@
 
 
 def _routes(timeout_ms: int) -> list[dict[str, object]]:
-    def route(name: str, kind: str, service: str, **more: object) -> dict[str, object]:
+    def route(name: str, kind: str, service: str, **extra: object) -> dict[str, object]:
         plain = {"name": name, "host": "h", "prefix": f"/{name}/", "kind": kind}
-        return plain | {"timeoutMs": timeout_ms, "service": service} | more
+        return plain | {"timeoutMs": timeout_ms, "service": service} | extra
 
-    kept = {"retainHistory": True, "retentionS": 60.0}
+    history_options = {"retainHistory": True, "retentionS": 60.0}
     return [
-        route("turn", "stream", "engines", **kept),
+        route("turn", "stream", "engines", **history_options),
         route("safe", "safe", "plain", maxAttempts=2),
         route("unsafe", "unsafe", "plain"),
     ]
 
 
-def _waited_s(pid: int) -> float:
-    """Return how long a process was ready to run and did not, in seconds."""
+def _cpu_wait_s(pid: int) -> float:
+    """Return the seconds that a process was runnable but had no processor."""
     try:
         return int(Path(f"/proc/{pid}/schedstat").read_text().split()[1]) / 1e9
     except (OSError, IndexError):
@@ -105,54 +105,56 @@
         return 0.0
 
 
-class World:
-    """All that runs.
+class SoakDeployment:
+    """Processes, servers and store of one soak.
 
     Parameters
     ----------
     variant : Variant or None
-        Runs instead of the product's own start.
+        Code that replaces the start of the product.
     relays : int
-        How many relays run.
-    slowness : float
-        How many times as long as at its quickest a server works.
+        Number of relays.
+    slow_factor : float
+        Factor by which the response times of servers are longer.
     """
 
     def __init__(
         self,
         folder: Path,
         store: StoreStandin,
-        witness: Witness,
+        checker: PromiseChecker,
         draw: random.Random,
         variant: Variant | None = None,
         relays: int = 2,
-        slowness: float = 1.0,
+        slow_factor: float = 1.0,
     ) -> None:
         self.store = store
-        self.witness = witness
+        self.checker = checker
         self.relay_names = tuple(f"relay-{n}" for n in range(1, relays + 1))
-        self._slowness = slowness
-        self._config = 0
+        self._slow_factor = slow_factor
+        self._config_version = 0
         self._folder = folder
         self._draw = draw
         self._variant = variant
         self._ports = [int(free_address().rpartition(":")[2]) for _ in range(3)]
-        # Soaks beside each other need addresses of their own.
-        net = f"127.{draw.randint(1, 250)}.{draw.randint(1, 250)}"
+        # Concurrent soaks need different addresses.
+        ip_prefix = f"127.{draw.randint(1, 250)}.{draw.randint(1, 250)}"
         self.machines = {
-            name: Machine(name, role, f"{net}.{10 + n}", f"z{1 + (n - 1) % ZONES}")
+            name: Machine(
+                name, role, f"{ip_prefix}.{10 + n}", f"z{1 + (n - 1) % ZONES}"
+            )
             for role, names in (("keeper", KEEPERS), ("relay", self.relay_names))
             for n, name in enumerate(names, start=1 if role == "keeper" else 4)
         }
         self.stopped = False
         self._processes: dict[str, subprocess.Popen[bytes]] = {}
-        # Processes that were told to stop and have not ended yet.
+        # Processes that were signalled to stop and have not ended.
         self.stopping: dict[str, subprocess.Popen[bytes]] = {}
-        # Held while a keeper is away as planned: no more may be missing.
-        self.keepers = anyio.Lock()
-        # Held by whoever ends relays until they are started again: two faults that end
-        # the same one would else start its successor beside it.
-        self.relays = anyio.Lock()
+        # Held during a planned stop of a keeper: only one may be down at a time.
+        self.keeper_lock = anyio.Lock()
+        # Held while relays are ended and restarted.  Without it, two faults that end
+        # the same relay could start it twice.
+        self.relay_lock = anyio.Lock()
         self.servers = [
             ScriptedServer(f"s{n}", self._engine if n < 3 else self._plain)
             for n in range(5)
@@ -161,7 +163,7 @@
     # Servers
 
     async def start_servers(self) -> None:
-        """Start the servers and tell the store of them and of the configuration."""
+        """Start the servers, and write them and the configuration into the store."""
         self.configure()
         for number, server in enumerate(self.servers):
             await server.start()
@@ -176,15 +178,15 @@
             self.store.put(f"servers/{server.id}", json.dumps(entry).encode())
 
     def configure(self, timeout_ms: int = 2000) -> None:
-        """Put the next version of the configuration into the store."""
+        """Write the next version of the configuration into the store."""
         engine = {"slots": 8, "kvCapacityTokens": 100_000, "tokensPerEvent": 25}
         services = [
             {"name": "engines", "maxConns": 100, "engine": engine},
             {"name": "plain", "maxConns": 100},
         ]
-        self._config += 1
+        self._config_version += 1
         config = {
-            "version": self._config,
+            "version": self._config_version,
             "routes": _routes(timeout_ms),
             "services": services,
             "limits": {},
@@ -193,144 +195,150 @@
         self.store.put(CONFIG_KEY, json.dumps(config).encode())
 
     async def _engine(self, exchange: Exchange) -> None:
-        if not await self._begins(exchange):
+        if not await self._accept_request(exchange):
             return
         events = event_data(exchange.header("X-Request-Id"))
-        breaks_after = self._draw.randrange(len(events)) if self._now_and_then() else -1
+        reset_after = (
+            self._draw.randrange(len(events)) if self._draw_rare_fault() else -1
+        )
         for number, data in enumerate(events, start=1):
-            await asyncio.sleep(self._slowness * self._draw.uniform(0.0, 0.03))
-            if number - 1 == breaks_after:
-                self._break_off(exchange)
+            await asyncio.sleep(self._slow_factor * self._draw.uniform(0.0, 0.03))
+            if number - 1 == reset_after:
+                self._reset_response(exchange)
                 return
             await exchange.send_event(f"id: {number}\ndata: {data}\n\n")
         await exchange.end_stream()
 
     async def _plain(self, exchange: Exchange) -> None:
-        if not await self._begins(exchange):
+        if not await self._accept_request(exchange):
             return
-        await asyncio.sleep(self._slowness * self._draw.uniform(0.0, 0.05))
-        if self._now_and_then():
-            self._break_off(exchange)
+        await asyncio.sleep(self._slow_factor * self._draw.uniform(0.0, 0.05))
+        if self._draw_rare_fault():
+            self._reset_response(exchange)
             return
         await exchange.answer(plain_answer(exchange.header("X-Request-Id")))
 
-    async def _begins(self, exchange: Exchange) -> bool:
-        """Refuse a request, or note that it runs."""
-        if self._now_and_then():
+    async def _accept_request(self, exchange: Exchange) -> bool:
+        """Reject a request, or record that it is executed; return which."""
+        if self._draw_rare_fault():
             await exchange.write_text(
                 "HTTP/1.1 503 Service Unavailable\nX-Not-Executed: 1\n"
                 "Content-Length: 0\n\n"
             )
             return False
         request_id = exchange.header("X-Request-Id")
-        self.witness.runs(request_id, exchange.body.decode())
-        self.witness.runs_for(
+        self.checker.record_execution(request_id, exchange.body.decode())
+        self.checker.record_execution_customer(
             request_id, exchange.header("X-Tenant"), exchange.header("Authorization")
         )
         return True
 
-    def _break_off(self, exchange: Exchange) -> None:
-        self.witness.breaks_off(exchange.header("X-Request-Id"))
+    def _reset_response(self, exchange: Exchange) -> None:
+        self.checker.record_reset(exchange.header("X-Request-Id"))
         exchange.reset()
 
-    def _now_and_then(self) -> bool:
+    def _draw_rare_fault(self) -> bool:
         return self._draw.random() < 0.03
 
     # Machines
 
     def start(self, name: str) -> None:
-        """Start a process; one that runs is left alone."""
+        """Start a process unless it is running."""
         if name in self._processes:
             return
         machine = self.machines[name]
-        program = ["-m", "wisteriastair"]
+        args = ["-m", "wisteriastair"]
         if self._variant is not None and self._variant.role == machine.role:
-            program = ["-c", self._variant.code]
+            args = ["-c", self._variant.code]
         log = open(self._folder / f"{name}.log", "ab")  # noqa: SIM115
         self._processes[name] = subprocess.Popen(
-            [sys.executable, *program, machine.role],
+            [sys.executable, *args, machine.role],
             env=os.environ | {"WISTERIASTAIR_BOOT": str(self._settings(machine))},
             stdout=log,
             stderr=log,
         )
         log.close()
 
-    async def end(self, name: str, how: signal.Signals = signal.SIGKILL) -> None:
-        """End a process and wait until it is gone."""
+    async def end_process(
+        self, name: str, sig: signal.Signals = signal.SIGKILL
+    ) -> None:
+        """Send a signal to a process and wait until it has ended."""
         process = self._processes.pop(name, None)
         if process is not None:
-            process.send_signal(how)
+            process.send_signal(sig)
             await anyio.to_thread.run_sync(process.wait)
 
     async def stop(self, name: str) -> None:
         """Stop a process as the platform does, and start it again.
 
-        It must end by itself.  One that has just started may end by the signal, since
-        it cannot tell yet what that means, or by a SIGHUP.
+        It must exit within the grace period.  A process that has just started may also
+        end by SIGTERM or SIGHUP, because its signal handlers are not installed yet.
         """
         process = self._processes.pop(name, None)
         if process is None:
-            # It is being stopped or started already.
+            # It is already being stopped or restarted.
             return
         self.stopping[name] = process
-        number = self.witness.stop_begins(name, time.monotonic())
+        stop_number = self.checker.record_stop_start(name, time.monotonic())
         process.send_signal(signal.SIGTERM)
         with anyio.move_on_after(GRACE_S):
             while process.poll() is None:
-                await anyio.sleep(LOOK_S)
+                await anyio.sleep(EXIT_POLL_S)
         if process.poll() is None:
             process.kill()
             process.wait()
-            self.witness.stop_fails(number)
+            self.checker.record_forced_kill(stop_number)
         elif process.returncode not in (0, -signal.SIGTERM, -signal.SIGHUP):
-            self.witness.broken.append(f"stop: {name} ended: {process.returncode}")
-        self.witness.stop_ends(number, time.monotonic())
+            self.checker.violations.append(f"stop: {name} ended: {process.returncode}")
+        self.checker.record_stop_end(stop_number, time.monotonic())
         del self.stopping[name]
         await anyio.sleep(RESTART_S)
         self.start(name)
 
     def running_relays(self) -> list[str]:
-        """Return the relays that run and were not told to stop."""
+        """Return the relays that are running and not stopping."""
         return [name for name in self.relay_names if name in self._processes]
 
-    def signal(self, name: str, what: signal.Signals) -> None:
-        """Send a signal to a process that runs."""
+    def signal(self, name: str, sig: signal.Signals) -> None:
+        """Send a signal to a process if it is running."""
         process = self._processes.get(name) or self.stopping.get(name)
         if process is not None:
-            process.send_signal(what)
+            process.send_signal(sig)
 
-    def wipe(self, name: str) -> None:
-        """Lose the disk of a machine whose process has ended."""
+    def wipe_disk(self, name: str) -> None:
+        """Delete the disk of a machine whose process has ended."""
         shutil.rmtree(self._folder / name, ignore_errors=True)
 
-    async def watch_processor(self) -> None:
-        """Note when a process got no processor, as beside other work on the machine."""
-        waited: dict[int, float] = {}
+    async def watch_cpu_starvation(self) -> None:
+        """Record the intervals in which a process waited too long for a processor."""
+        previous_waits: dict[int, float] = {}
         while not self.stopped:
-            began = time.monotonic()
-            await anyio.sleep(HELD_UP_LOOK_S)
+            started_at = time.monotonic()
+            await anyio.sleep(STARVATION_CHECK_S)
             processes = (*self._processes.values(), *self.stopping.values())
             pids = [os.getpid(), *(process.pid for process in processes)]
-            now = {pid: _waited_s(pid) for pid in pids}
-            if any(now[pid] - waited.get(pid, 0.0) > HELD_UP_S for pid in pids):
-                self.witness.held_up.append((began, time.monotonic()))
-            waited = now
-
-    async def restart_those_that_ended(self) -> None:
-        """Start processes again that ended by themselves, as the platform does."""
+            waits = {pid: _cpu_wait_s(pid) for pid in pids}
+            if any(
+                waits[pid] - previous_waits.get(pid, 0.0) > STARVATION_S for pid in pids
+            ):
+                self.checker.starved_intervals.append((started_at, time.monotonic()))
+            previous_waits = waits
+
+    async def supervise(self) -> None:
+        """Restart processes that ended unexpectedly, as the platform does."""
         while not self.stopped:
             self.restart_ended()
             await anyio.sleep(RESTART_S)
 
     def restart_ended(self) -> None:
-        """Start each process again that has ended without being told to."""
+        """Restart each process that has ended without a request to stop."""
         for name, process in list(self._processes.items()):
             if process.poll() is not None:
                 del self._processes[name]
                 self.start(name)
 
-    def states(self) -> str:
-        """Tell which processes run, and how the others ended."""
+    def describe_processes(self) -> str:
+        """Describe which processes run, and how the others ended."""
         codes = {name: p.poll() for name, p in sorted(self._processes.items())}
         return ", ".join(
             f"{name} {'runs' if code is None else f'ended with {code}'}"
@@ -338,7 +346,7 @@
         )
 
     def kill_all(self) -> None:
-        """End everything at once, without waiting."""
+        """Kill all processes at once and wait until they have ended."""
         for process in (*self._processes.values(), *self.stopping.values()):
             process.kill()
             process.wait()
@@ -360,8 +368,8 @@
             ready=f"{machine.ip}:{ready}",
         )
 
-    async def open(self, name: str) -> Caller | None:
-        """Open a channel to a relay; None if it does not take one."""
+    async def open_connection(self, name: str) -> Caller | None:
+        """Open a connection to a relay; return None if it is not accepted."""
         try:
             with anyio.fail_after(0.5):
                 reader, writer = await asyncio.open_connection(
