--- a/tests/daemons/__init__.py
+++ b/tests/daemons/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package for daemons."""
+"""Tests of the daemons."""
--- a/tests/daemons/test_deployment.py
+++ b/tests/daemons/test_deployment.py
@@ -1,4 +1,4 @@
-"""The daemons as real processes: the path, the operators' client, traces, a stop."""
+"""Daemons as real processes: programs, the operators' client, traces, stops."""
 
 from __future__ import annotations
 
@@ -27,18 +27,18 @@
 
 @pytest.fixture(scope="module")
 def deployment(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Deployment]:
-    found = Deployment(read_example(EXAMPLE), tmp_path_factory.mktemp("office"))
+    running = Deployment(read_example(EXAMPLE), tmp_path_factory.mktemp("office"))
     try:
-        found.start()
-        found.wait_revision(found.configure())
-        yield found
+        running.start()
+        running.wait_revision(running.configure())
+        yield running
     finally:
-        found.stop()
+        running.stop()
 
 
 def post_program(deployment: Deployment, key: str, entry: int = 0) -> Any:
     program = deployment.example["program"]
-    answer = httpx.post(
+    response = httpx.post(
         f"{deployment.entry_urls()[entry]}/v1/programs",
         json={"service": program["service"], "prompt": program["prompt"]},
         headers={
@@ -47,7 +47,7 @@
         },
         timeout=TIMEOUT_S,
     )
-    return answer.json()
+    return response.json()
 
 
 def ctl(deployment: Deployment, *words: str) -> subprocess.CompletedProcess[str]:
@@ -60,7 +60,7 @@
     )
 
 
-def test_program_is_answered_whole_through_both_entries(
+def test_both_entries_return_the_complete_answer(
     deployment: Deployment,
 ) -> None:
     expected = final_answer(deployment.example["program"]["prompt"])
@@ -76,8 +76,8 @@
     by_trace: dict[str, set[str]] = {}
     for span in spans:
         by_trace.setdefault(span["trace"], set()).add(span["name"])
-    wanted = {"entry start", "carrier", "gate engine", "gate service"}
-    assert any(wanted <= names for names in by_trace.values())
+    expected_names = {"entry start", "carrier", "gate engine", "gate service"}
+    assert any(expected_names <= names for names in by_trace.values())
 
 
 def test_ctl_prints_tables_json_and_errors(deployment: Deployment) -> None:
@@ -89,16 +89,16 @@
     wrong = ctl(deployment, "show", "everything")
     assert wrong.returncode == 1
     assert "     ^" in wrong.stderr
-    stale = ctl(deployment, "set", "service", "appraisal", "budget", "9", "if",
+    outdated = ctl(deployment, "set", "service", "appraisal", "budget", "9", "if",
                 "revision", "1")  # fmt: skip
-    assert stale.returncode == 1
-    assert "conflict" in stale.stderr
+    assert outdated.returncode == 1
+    assert "conflict" in outdated.stderr
 
 
 def test_planned_stop_of_a_side_process_ends_by_itself(
     deployment: Deployment,
 ) -> None:
-    """A fourth side process takes over slots; the first leaves and exits with 0."""
+    """After a fourth side process has started, the first leaves and exits with 0."""
     server = deployment.example["servers"][0]
     victim = f"side-{server['name']}"
     deployment.start_bare_side(server["domain"])
@@ -145,7 +145,7 @@
 
 
 def test_planned_stop_of_an_entry_ends_by_itself(deployment: Deployment) -> None:
-    """An entry that is told to stop exits with 0; the other one serves on."""
+    """An entry exits with 0 on SIGTERM; the other one continues to serve."""
     deployment.signal("entry-2", signal.SIGTERM)
     assert deployment.processes["entry-2"].popen.wait(TIMEOUT_S) == 0
     del deployment.processes["entry-2"]
--- a/tests/daemons/test_web.py
+++ b/tests/daemons/test_web.py
@@ -1,4 +1,4 @@
-"""TLS towards callers and operators, with a certificate made for the tests."""
+"""TLS for callers and operators, with a test certificate."""
 
 from __future__ import annotations
 
@@ -17,39 +17,39 @@
 from wisteriastair.standins.deployment import free_address
 
 FOLDER = Path(__file__).parent / "tls"
-LIMIT_S = 30.0
+TIMEOUT_S = 30.0
 
 
-async def hello(http: Request) -> Response:
+async def get_scheme(http: Request) -> Response:
     return PlainTextResponse(http.url.scheme)
 
 
 async def get_over_tls() -> str:
     address = free_address()
-    stop = anyio.Event()
-    app = Starlette(routes=[Route("/", hello)])
+    shutdown = anyio.Event()
+    app = Starlette(routes=[Route("/", get_scheme)])
     cert, key = str(FOLDER / "cert.pem"), str(FOLDER / "key.pem")
     context = ssl.create_default_context(cafile=cert)
-    answer = ""
+    response_text = ""
     async with anyio.create_task_group() as group:
 
         async def serve() -> None:
-            await serve_http(app, address, stop, tls_cert=cert, tls_key=key)
+            await serve_http(app, address, shutdown, tls_cert=cert, tls_key=key)
 
         group.start_soon(serve)
         async with httpx.AsyncClient(verify=context) as client:
-            with anyio.fail_after(LIMIT_S):
-                while not answer:
+            with anyio.fail_after(TIMEOUT_S):
+                while not response_text:
                     try:
-                        answer = (await client.get(f"https://{address}/")).text
+                        response_text = (await client.get(f"https://{address}/")).text
                     except httpx.ConnectError:
                         await anyio.sleep(0.02)
             with pytest.raises(httpx.HTTPError):
                 await client.get(f"http://{address}/")
-        stop.set()
-    return answer
+        shutdown.set()
+    return response_text
 
 
 def test_callers_are_served_over_tls_only() -> None:
-    """With a certificate the entry speaks TLS, and a plain request gets nothing."""
+    """With a certificate the entry serves TLS, and plain HTTP requests fail."""
     assert anyio.run(get_over_tls) == "https"
--- a/tests/sessions/__init__.py
+++ b/tests/sessions/__init__.py
@@ -1,1 +1,1 @@
-"""Whole sessions as callers and operators see them."""
+"""Complete sessions as callers and operators see them."""
--- a/tests/sessions/test_sessions.py
+++ b/tests/sessions/test_sessions.py
@@ -1,4 +1,4 @@
-"""Golden sessions: scenarios over the shipped cores in virtual time."""
+"""Golden sessions: scenarios with the production cores in virtual time."""
 
 from __future__ import annotations
 
@@ -24,44 +24,44 @@
 from wisteriastair.standins.virtual import VirtualDeployment
 
 GOLDEN = Path(__file__).parent / "golden"
-LIMIT_S = 120.0
+TIMEOUT_S = 120.0
 
 scenarios("sessions.feature")
 
 
 class Session:
-    """A deployment and what callers and operators saw of it."""
+    """A deployment and the transcript of its callers and operators."""
 
     def __init__(self) -> None:
         self.deployment: VirtualDeployment = office()
         self.requests: dict[str, str] = {}
-        self.began = self.deployment.now
+        self.started_at = self.deployment.now
         self.lines: list[str] = []
-        self.dispatched: list[str] = []
+        self.gate_processes: list[str] = []
 
-    def say(self, text: str) -> None:
-        self.lines.append(f"{self.deployment.now - self.began:6.1f}  {text}")
+    def log(self, text: str) -> None:
+        self.lines.append(f"{self.deployment.now - self.started_at:6.1f}  {text}")
 
-    def ask(self, ask: RequestSpec, entry: int, what: str) -> None:
-        request = self.deployment.ask(ask, entry)
-        self.requests[request] = what
-        self.say(f"{what}: {ask.kind} at entry {entry}")
+    def send(self, spec: RequestSpec, entry: int, label: str) -> None:
+        request = self.deployment.ask(spec, entry)
+        self.requests[request] = label
+        self.log(f"{label}: {spec.kind} at entry {entry}")
 
     def finish(self) -> None:
-        """Run until all requests have ended, then note what each caller saw."""
+        """Run until all requests have ended, then log the events of each caller."""
         waiting = list(self.requests)
         ended = self.deployment.run_until(
-            lambda: all_ended(self.deployment, waiting), LIMIT_S
+            lambda: all_ended(self.deployment, waiting), TIMEOUT_S
         )
         assert ended, "every request has a final answer"
         for request in waiting:
-            what = self.requests.pop(request)
-            for line in transcript(self.deployment.events[request]):
-                self.say(f"{what}: {line}")
+            label = self.requests.pop(request)
+            for line in describe_events(self.deployment.events[request]):
+                self.log(f"{label}: {line}")
 
 
-def transcript(events: list[CallerEvent]) -> list[str]:
-    """Tell what a caller saw, the text of each call joined."""
+def describe_events(events: list[CallerEvent]) -> list[str]:
+    """Return a line for each event of a caller, with the text of each call joined."""
     lines: list[str] = []
     text: dict[int, str] = {}
     for event in events:
@@ -86,29 +86,29 @@
 
 
 @given("the Office's deployment", target_fixture="session")
-def deployed() -> Session:
+def start_deployment() -> Session:
     return Session()
 
 
 @when(parsers.parse("a citizen starts {key} at entry {entry:d}"))
-def starts(session: Session, key: str, entry: int) -> None:
-    session.ask(start(key), entry, f"caller of {key}")
+def start_program(session: Session, key: str, entry: int) -> None:
+    session.send(start(key), entry, f"caller of {key}")
 
 
 @when(parsers.parse("a citizen starts {key} at entry {entry:d} with a budget of {n:d}"))
-def starts_with_budget(session: Session, key: str, entry: int, n: int) -> None:
-    session.ask(start(key)._replace(budget=n), entry, f"caller of {key}")
+def start_program_with_budget(session: Session, key: str, entry: int, n: int) -> None:
+    session.send(start(key)._replace(budget=n), entry, f"caller of {key}")
 
 
 @when(parsers.parse("a citizen reconnects to {key} at entry {entry:d}"))
-def reconnects(session: Session, key: str, entry: int) -> None:
+def reconnect(session: Session, key: str, entry: int) -> None:
     request = next(iter(session.requests))
     number = offset = 0
     for event in session.deployment.events[request]:
         if isinstance(event, OutputText):
             number, offset = event.number, event.offset + len(event.text)
     del session.requests[request]
-    ask = RequestSpec(
+    spec = RequestSpec(
         "attach",
         "citizens",
         program=program_id("citizens", key),
@@ -116,105 +116,105 @@
         number=number,
         offset=offset,
     )
-    session.ask(ask, entry, f"caller of {key}")
+    session.send(spec, entry, f"caller of {key}")
 
 
 @when(parsers.parse("a citizen cancels {key} at entry {entry:d}"))
-def cancels(session: Session, key: str, entry: int) -> None:
-    ask = RequestSpec("cancel", "citizens", program=program_id("citizens", key))
-    session.ask(ask, entry, f"canceller of {key}")
+def cancel(session: Session, key: str, entry: int) -> None:
+    spec = RequestSpec("cancel", "citizens", program=program_id("citizens", key))
+    session.send(spec, entry, f"canceller of {key}")
 
 
 @when(parsers.parse("{seconds:g} seconds pass"))
-def passes(session: Session, seconds: float) -> None:
+def advance_time(session: Session, seconds: float) -> None:
     session.deployment.run(seconds)
 
 
 @when("everything has ended")
-def ends(session: Session) -> None:
+def finish_session(session: Session) -> None:
     session.finish()
 
 
 @when(parsers.parse("the carrier of {key} is killed"))
-def carrier_dies(session: Session, key: str) -> None:
+def kill_primary(session: Session, key: str) -> None:
     victim = primary_of(session.deployment, program_id("citizens", key))
     session.deployment.kill(victim)
-    session.say(f"{victim}, the carrier of {key}, is killed")
+    session.log(f"{victim}, the carrier of {key}, is killed")
 
 
 @when(parsers.parse("entry {number:d} is killed"))
-def entry_dies(session: Session, number: int) -> None:
+def kill_entry(session: Session, number: int) -> None:
     session.deployment.kill(f"entry-{number}")
-    session.say(f"entry {number} is killed")
+    session.log(f"entry {number} is killed")
 
 
 @when("the key-value service goes down")
-def platform_down(session: Session) -> None:
+def take_platform_down(session: Session) -> None:
     session.deployment.kv.up = False
-    session.say("the key-value service is down")
+    session.log("the key-value service is down")
 
 
 @when("the key-value service comes back")
-def platform_up(session: Session) -> None:
+def bring_platform_up(session: Session) -> None:
     session.deployment.kv.up = True
-    session.say("the key-value service is back")
+    session.log("the key-value service is back")
 
 
 @when(parsers.parse("the reservation of {key} is dispatched"))
-def reservation_dispatched(session: Session, key: str) -> None:
+def wait_reservation_dispatched(session: Session, key: str) -> None:
     deployment = session.deployment
 
-    def watch(sender: str, to: str, message: Message) -> tuple[float, ...]:
+    def record_dispatch(sender: str, to: str, message: Message) -> tuple[float, ...]:
         if isinstance(message, GateCall) and message.name == "swaps/reserve":
-            session.dispatched.append(to)
+            session.gate_processes.append(to)
         return (0.0,)
 
-    deployment.disturb = watch
-    assert deployment.run_until(lambda: bool(session.dispatched), LIMIT_S)
+    deployment.disturb = record_dispatch
+    assert deployment.run_until(lambda: bool(session.gate_processes), TIMEOUT_S)
     deployment.run(0.02)
 
 
 @when("the process before its server is killed")
-def gate_dies(session: Session) -> None:
-    session.deployment.kill(session.dispatched[0])
-    session.say(f"{session.dispatched[0]} is killed")
+def kill_gate(session: Session) -> None:
+    session.deployment.kill(session.gate_processes[0])
+    session.log(f"{session.gate_processes[0]} is killed")
 
 
 @when("the plain servers hang")
-def servers_hang(session: Session) -> None:
+def hang_servers(session: Session) -> None:
     session.deployment.hanging_servers |= {"p1", "p2"}
-    session.say("the plain servers hang")
+    session.log("the plain servers hang")
 
 
 @when(parsers.parse("an operator says server {name} leaves"))
-def server_leaves(session: Session, name: str) -> None:
+def set_server_leaving(session: Session, name: str) -> None:
     session.deployment.change(SetServerState("leave", name, "leaving"))
 
 
 @when(parsers.parse("{count:d} programs are started"))
-def many_start(session: Session, count: int) -> None:
+def start_programs(session: Session, count: int) -> None:
     for number in range(count):
-        session.ask(start(f"n{number}"), 1 + number % 2, f"caller {number}")
+        session.send(start(f"n{number}"), 1 + number % 2, f"caller {number}")
 
 
 @when("an operator looks at the slots")
-def operator_looks(session: Session) -> None:
+def log_changed_slots(session: Session) -> None:
     for row in sorted(rows_of(session.deployment).values()):
         if row.epoch > 1:
-            session.say(
+            session.log(
                 f"slot {row.slot}: carrier {row.primary} standby {row.standby} "
                 f"epoch {row.epoch}"
             )
 
 
 @then("no engine holds memory")
-def nothing_held(session: Session) -> None:
+def check_no_cached_programs(session: Session) -> None:
     for name, engine in session.deployment.engines.items():
         assert engine.programs() == [], name
 
 
 @then(parsers.parse("no program used server {name}"))
-def unused(session: Session, name: str) -> None:
+def check_server_unused(session: Session, name: str) -> None:
     for node in session.deployment.nodes.values():
         if isinstance(node.core, SideCore):
             for run in node.core.programs.by_name.values():
@@ -222,12 +222,12 @@
 
 
 @then(parsers.parse("the session reads as in {name}"))
-def reads_as(session: Session, name: str) -> None:
+def check_transcript(session: Session, name: str) -> None:
     path = GOLDEN / f"{name}.txt"
-    found = "\n".join(session.lines) + "\n"
+    transcript = "\n".join(session.lines) + "\n"
     if os.environ.get("UPDATE_GOLDEN") == "1":
-        path.write_text(found, "utf-8")
+        path.write_text(transcript, "utf-8")
         return
     if not path.exists():
         pytest.fail(f"{path.name} is missing; make it with UPDATE_GOLDEN=1")
-    assert found == path.read_text("utf-8")
+    assert transcript == path.read_text("utf-8")
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -31,7 +31,7 @@
     MAX_TOKENS,
     NOT_EXECUTED_STATUSES,
     Failure,
-    PromiseChecker,
+    GuaranteeChecker,
     Turn,
 )
 from tests.soak.world import SoakDeployment, Variant
@@ -115,7 +115,7 @@
     def __init__(
         self,
         deployment: SoakDeployment,
-        checker: PromiseChecker,
+        checker: GuaranteeChecker,
         draw: random.Random,
         reuse_connections: bool = False,
     ) -> None:
@@ -291,7 +291,7 @@
     draw = random.Random(f"{seed} callers and servers")
     # A separate generator makes the faults of a seed the same in each run.
     faults_draw = random.Random(f"{seed} faults")
-    checker = PromiseChecker()
+    checker = GuaranteeChecker()
     async with standin_store() as store:
         slow_factor = SLOW_FACTOR if stops else 1.0
         deployment = SoakDeployment(
--- a/tests/soak/stops.py
+++ b/tests/soak/stops.py
@@ -14,8 +14,8 @@
 # Relays are stopped one after another with gaps up to this, so that all are stopping at
 # the same time.  The range includes 0.25 s, a gap at which requests have been lost.
 MAX_GAP_S: Final = 0.6
-# Concurrent faults start up to this long after the first signal: until the end of the
-# grace period, when the next process may be starting.
+# Concurrent faults start up to this long after the first signal, which includes the
+# end of the grace period and the start of the next process.
 MAX_START_DELAY_S: Final = 8.0
 MAX_CONCURRENT: Final = 3
 # Time-outs of the routes: none is shorter than the time that callers wait, and the
--- a/tests/soak/test_witness.py
+++ b/tests/soak/test_witness.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.soak.witness import Failure, PromiseChecker
+from tests.soak.witness import Failure, GuaranteeChecker
 
 
 def _check_failure(failure: Failure, *, ran: bool) -> list[list[str]]:
@@ -11,7 +11,7 @@
     The relay is signalled to stop at second 10 and ends at 15.  A process waits for a
     processor from second 2 to 3.
     """
-    checker = PromiseChecker()
+    checker = GuaranteeChecker()
     checker.record_request(failure.id, "unsafe")
     if ran:
         checker.record_execution(failure.id, "")
@@ -54,7 +54,7 @@
 def test_a_failure_near_an_unplanned_event_is_excused() -> None:
     """Failures count again from 3 s after the event."""
     near = Failure("u1", "relay-1", 9.5, 10.5, 0)
-    checker = PromiseChecker()
+    checker = GuaranteeChecker()
     checker.record_execution("u1", "")
     checker.violations.clear()
     checker.record_stop_start("relay-1", 10.0)
@@ -67,6 +67,6 @@
 
 def test_a_process_that_has_to_be_killed_is_reported() -> None:
     """It is excused only if a process waited for a processor at that moment."""
-    checker = PromiseChecker()
+    checker = GuaranteeChecker()
     checker.record_forced_kill(checker.record_stop_start("relay-1", 10.0))
     assert checker.find_violations() == ["stop: relay-1 had to be killed"]
--- a/tests/soak/witness.py
+++ b/tests/soak/witness.py
@@ -96,7 +96,7 @@
     return any(start <= until and since - CONTACT_S <= end for start, end in intervals)
 
 
-class PromiseChecker:
+class GuaranteeChecker:
     """Records requests, executions and stops, and finds the violated guarantees."""
 
     def __init__(self) -> None:
@@ -262,8 +262,9 @@
                 continue
             since_s = failure.sent_at - stop_times[0]
             description = (
-                f"{violation_kind}: {failure.id} at {failure.relay}, sent {since_s:.2f} s after "
-                f"the signal, status {failure.status} after {took_s:.2f} s"
+                f"{violation_kind}: {failure.id} at {failure.relay}, sent "
+                f"{since_s:.2f} s after the signal, "
+                f"status {failure.status} after {took_s:.2f} s"
             )
             unplanned_intervals = [*self._unplanned_intervals, *self.starved_intervals]
             excused = _overlaps_recently(
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -21,7 +21,7 @@
 from tests.platform.standin_store import StoreStandin
 from tests.relay.harness import Caller, Exchange, ScriptedServer
 from tests.soak.customers import tenants
-from tests.soak.witness import PromiseChecker, event_data, plain_answer
+from tests.soak.witness import GuaranteeChecker, event_data, plain_answer
 from wisteriastair.standins.deployment import free_address
 
 KEEPERS: Final = ("keeper-1", "keeper-2", "keeper-3")
@@ -122,7 +122,7 @@
         self,
         folder: Path,
         store: StoreStandin,
-        checker: PromiseChecker,
+        checker: GuaranteeChecker,
         draw: random.Random,
         variant: Variant | None = None,
         relays: int = 2,
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -1,11 +1,11 @@
-"""Settings from the environment."""
+"""Flags from the environment, and joined flags."""
 
 from __future__ import annotations
 
 from wisteriastair.main import with_environment, with_joined_aims
 
 
-def test_environment_adds_what_no_flag_gives() -> None:
+def test_environment_adds_missing_flags() -> None:
     argv = ["side", "--domain", "lac"]
     environ = {
         "WISTERIASTAIR_DOMAIN": "medina",
@@ -29,7 +29,7 @@
     assert with_environment(["sing"], {"WISTERIASTAIR_SLOTS": "1"}) == ["sing"]
 
 
-def test_aims_are_joined_wherever_they_stand() -> None:
+def test_aims_are_joined_at_any_position() -> None:
     argv = ["losses", "a.log", "--aim", "turn=3", "--every=1", "--aim=chat=2", "b.log"]
     assert with_joined_aims(argv) == [
         "losses",
--- a/tests/virtual_loop.py
+++ b/tests/virtual_loop.py
@@ -1,4 +1,4 @@
-"""An event loop whose time passes at once: seconds of waiting take no time."""
+"""An event loop in virtual time: waiting advances the clock without delay."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 import anyio
 
 
-class _Selector(selectors.SelectSelector):
-    """Waits in virtual time; what it watches is the loop's own pipe alone."""
+class _VirtualSelector(selectors.SelectSelector):
+    """Waits in virtual time; the only registered file is the pipe of the loop."""
 
     now = 0.0
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        """Advance the time by a time-out instead of waiting for it."""
-        assert timeout is not None, "nothing left to wait for: the test is stuck"
+        """Advance the time by the time-out instead of waiting."""
+        assert timeout is not None, "no timer is scheduled: the test cannot proceed"
         self.now += max(0.0, timeout)
         return []
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop for tests without sockets."""
+    """An event loop for tests without sockets."""
 
     def __init__(self) -> None:
-        self._clock = _Selector()
-        super().__init__(self._clock)
+        self._virtual_selector = _VirtualSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
         """Return virtual seconds."""
-        return self._clock.now
+        return self._virtual_selector.now
 
 
 def play_in_virtual_time(story: Callable[[], Awaitable[None]]) -> None:
@@ -39,7 +39,7 @@
 
 
 class LoopTime:
-    """Stands in for the module `time` in code that reads its clocks."""
+    """Replaces the module `time` in code that reads its clocks."""
 
     CLOCK_BOOTTIME = 7
 
--- a/tests/windows.py
+++ b/tests/windows.py
@@ -1,14 +1,14 @@
-"""Counting over sliding windows, as quotas are judged."""
+"""Counts in sliding windows, with which quotas are checked."""
 
 from __future__ import annotations
 
 
 def max_in_a_window(times: list[float], window_s: float) -> int:
-    """Return the most of some times in any span of one window."""
+    """Return the maximum number of times in any window of a given length."""
     ordered = sorted(times)
-    most = first = 0
-    for last, at in enumerate(ordered):
-        while ordered[first] < at - window_s:
-            first += 1
-        most = max(most, last - first + 1)
-    return most
+    max_count = first_index = 0
+    for last_index, time in enumerate(ordered):
+        while ordered[first_index] < time - window_s:
+            first_index += 1
+        max_count = max(max_count, last_index - first_index + 1)
+    return max_count
--- a/tools/binary.py
+++ b/tools/binary.py
@@ -1,4 +1,4 @@
-"""Entry point of the one-file binary."""
+"""Entry point of the single-file binary."""
 
 import sys
 
