--- a/tests/soak/customers.py
+++ b/tests/soak/customers.py
@@ -23,13 +23,13 @@
 ) + SLACK_REQUESTS
 
 
-def customer_of(name: str) -> str:
-    """Return the customer that a caller's program or call belongs to."""
+def assign_customer(name: str) -> str:
+    """Return the customer of a program or call, by its name."""
     return REGULAR_CUSTOMERS[crc32(name.encode()) % len(REGULAR_CUSTOMERS)]
 
 
 def tenants() -> list[dict[str, object]]:
-    """Return the customers as the configuration lists them."""
+    """Return the customers in the format of the configuration."""
     listed: list[dict[str, object]] = [
         {"name": name, "apiKeys": [key]} for name, key in API_KEYS.items()
     ]
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -14,56 +14,56 @@
 Fault = Callable[[SoakDeployment, random.Random], Coroutine[Any, Any, None]]
 
 
-async def kill_keeper(deployment: SoakDeployment, draw: random.Random) -> None:
+async def kill_keeper(deployment: SoakDeployment, rng: random.Random) -> None:
     """Kill a keeper; its disk stays."""
-    name = draw.choice(KEEPERS)
+    name = rng.choice(KEEPERS)
     await deployment.end_process(name)
-    await anyio.sleep(draw.uniform(0.0, 1.5))
+    await anyio.sleep(rng.uniform(0.0, 1.5))
     deployment.start(name)
     await anyio.sleep(1.0)
 
 
-async def freeze_keeper(deployment: SoakDeployment, draw: random.Random) -> None:
+async def freeze_keeper(deployment: SoakDeployment, rng: random.Random) -> None:
     """Freeze a keeper for a while; it resumes with an old view."""
-    name = draw.choice(KEEPERS)
+    name = rng.choice(KEEPERS)
     deployment.signal(name, signal.SIGSTOP)
-    await anyio.sleep(draw.uniform(0.5, 2.5))
+    await anyio.sleep(rng.uniform(0.5, 2.5))
     deployment.signal(name, signal.SIGCONT)
     await anyio.sleep(1.0)
 
 
-async def wipe_keeper(deployment: SoakDeployment, draw: random.Random) -> None:
+async def wipe_keeper(deployment: SoakDeployment, rng: random.Random) -> None:
     """Delete the disk of a keeper; wait until it has caught up again."""
-    name = draw.choice(KEEPERS)
+    name = rng.choice(KEEPERS)
     await deployment.end_process(name)
     deployment.wipe_disk(name)
     deployment.start(name)
     await anyio.sleep(CATCH_UP_S)
 
 
-async def kill_relay(deployment: SoakDeployment, draw: random.Random) -> None:
+async def kill_relay(deployment: SoakDeployment, rng: random.Random) -> None:
     """Kill a relay with its open connections."""
-    name = draw.choice(deployment.relay_names)
+    name = rng.choice(deployment.relay_names)
     async with deployment.relay_lock:
         await deployment.end_process(name)
         deployment.start(name)
 
 
-async def stop_relay(deployment: SoakDeployment, draw: random.Random) -> None:
+async def stop_relay(deployment: SoakDeployment, rng: random.Random) -> None:
     """Stop a relay as planned; it exits when it has no active requests."""
-    name = draw.choice(deployment.relay_names)
+    name = rng.choice(deployment.relay_names)
     async with deployment.relay_lock:
         await deployment.end_process(name, signal.SIGTERM)
         deployment.start(name)
 
 
-async def reload_all(deployment: SoakDeployment, draw: random.Random) -> None:
+async def reload_all(deployment: SoakDeployment, rng: random.Random) -> None:
     """Send every process SIGHUP, which reloads its settings."""
     for name in deployment.machines:
         deployment.signal(name, signal.SIGHUP)
 
 
-async def kill_all_processes(deployment: SoakDeployment, draw: random.Random) -> None:
+async def kill_all_processes(deployment: SoakDeployment, rng: random.Random) -> None:
     """Kill all processes at the same time; all disks stay."""
     async with deployment.relay_lock:
         deployment.kill_all()
@@ -72,20 +72,20 @@
     await anyio.sleep(1.0)
 
 
-async def take_store_down(deployment: SoakDeployment, draw: random.Random) -> None:
+async def take_store_down(deployment: SoakDeployment, rng: random.Random) -> None:
     """Have the store reject every call for a while."""
     with deployment.checker.record_unplanned():
         deployment.store.down = True
-        await anyio.sleep(draw.uniform(0.5, 2.5))
+        await anyio.sleep(rng.uniform(0.5, 2.5))
         deployment.store.down = False
 
 
-async def drop_store_responses(deployment: SoakDeployment, draw: random.Random) -> None:
+async def drop_store_responses(deployment: SoakDeployment, rng: random.Random) -> None:
     """Have the store drop its response to a few writes."""
-    deployment.store.responses_to_drop = draw.randint(1, 3)
+    deployment.store.responses_to_drop = rng.randint(1, 3)
 
 
-async def compact_store(deployment: SoakDeployment, draw: random.Random) -> None:
+async def compact_store(deployment: SoakDeployment, rng: random.Random) -> None:
     """Have the store drop its history and close its watches."""
     with deployment.checker.record_unplanned():
         deployment.store.forget_history()
@@ -114,17 +114,17 @@
 
 
 async def inject_faults(
-    deployment: SoakDeployment, draw: random.Random, count: int
+    deployment: SoakDeployment, rng: random.Random, count: int
 ) -> list[str]:
     """Inject faults one after another; return their names in order."""
     fault_names: list[str] = []
     for _ in range(count):
-        await anyio.sleep(draw.uniform(0.1, 0.6))
-        drawn = [draw.choice(FAULTS)]
-        if draw.random() < 0.4:
-            drawn.append(draw.choice(CONCURRENT_FAULTS))
+        await anyio.sleep(rng.uniform(0.1, 0.6))
+        drawn = [rng.choice(FAULTS)]
+        if rng.random() < 0.4:
+            drawn.append(rng.choice(CONCURRENT_FAULTS))
         fault_names.append("+".join(fault.__name__ for fault in drawn))
         async with anyio.create_task_group() as group:
             for fault in drawn:
-                group.start_soon(fault, deployment, draw)
+                group.start_soon(fault, deployment, rng)
     return fault_names
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -24,7 +24,12 @@
 
 from tests.platform.standin_store import standin_store
 from tests.relay.harness import Caller, Reply
-from tests.soak.customers import API_KEYS, FLOODING_CUSTOMER, UNKNOWN_KEY, customer_of
+from tests.soak.customers import (
+    API_KEYS,
+    FLOODING_CUSTOMER,
+    UNKNOWN_KEY,
+    assign_customer,
+)
 from tests.soak.faults import inject_faults
 from tests.soak.stops import inject_stops
 from tests.soak.witness import (
@@ -116,7 +121,7 @@
         self,
         deployment: SoakDeployment,
         checker: GuaranteeChecker,
-        draw: random.Random,
+        rng: random.Random,
         reuse_connections: bool = False,
     ) -> None:
         self.stopped = False
@@ -124,7 +129,7 @@
         self._idle_connections: list[RelayConnection] = []
         self._deployment = deployment
         self._checker = checker
-        self._draw = draw
+        self._rng = rng
         self._id_count = 0
         # Programs that ended with status 402 or 404.
         self._ended_programs: set[str] = set()
@@ -138,20 +143,20 @@
 
     async def run_program(self, program: str) -> bool:
         """Run one program; return whether all its turns were served."""
-        budget = self._draw.choice((400, 5_000))
+        budget = self._rng.choice((400, 5_000))
         history = previous_id = ""
-        for _ in range(self._draw.randint(2, 5)):
+        for _ in range(self._rng.randint(2, 5)):
             turn = await self._send_turn(program, budget, previous_id, history)
             for _ in range(MAX_RESUMPTIONS if previous_id else 0):
                 if turn is not None or program in self._ended_programs or self.stopped:
                     break
-                await anyio.sleep(self._draw.uniform(*RESUMPTION_PAUSE_S))
+                await anyio.sleep(self._rng.uniform(*RESUMPTION_PAUSE_S))
                 turn = await self._send_turn(program, budget, previous_id, history)
             if turn is None:
                 return False
             previous_id, history = turn.id, turn.history_after()
             await self._send_call(
-                self._draw.choice(("safe", "unsafe")), customer_of(program)
+                self._rng.choice(("safe", "unsafe")), assign_customer(program)
             )
         return True
 
@@ -163,7 +168,7 @@
             turn = Turn(turn_id, program, previous_id, history, f"ask {turn_id}.")
             self._checker.record_turn(turn, budget)
             extra_headers = {"X_Previous_Turn": previous_id} if previous_id else {}
-            extra_headers |= self._auth_header(turn.id, customer_of(program))
+            extra_headers |= self._auth_header(turn.id, assign_customer(program))
             reply = await self._send(
                 "turn",
                 turn.id,
@@ -178,7 +183,7 @@
             if reply.status in (402, 404):
                 self._ended_programs.add(program)
                 return None
-            await anyio.sleep(self._draw.uniform(0.1, 0.4))
+            await anyio.sleep(self._rng.uniform(0.1, 0.4))
         return None
 
     async def flood_requests(self) -> None:
@@ -250,14 +255,14 @@
 
     async def _take_connection(self) -> RelayConnection | None:
         """Return an idle connection, or open one."""
-        draw = self._draw
+        rng = self._rng
         if not self._reuse_connections:
-            relay = draw.choice(self._deployment.relay_names)
+            relay = rng.choice(self._deployment.relay_names)
             caller = await self._deployment.open_connection(relay)
             return RelayConnection(relay, caller, 1) if caller else None
-        while self._idle_connections and draw.random() < REUSE_PROBABILITY:
+        while self._idle_connections and rng.random() < REUSE_PROBABILITY:
             conn = self._idle_connections.pop(
-                draw.randrange(len(self._idle_connections))
+                rng.randrange(len(self._idle_connections))
             )
             if not conn.caller.reader.at_eof():
                 return conn
@@ -265,12 +270,12 @@
         stopping = [
             n for n in self._deployment.stopping if n in self._deployment.relay_names
         ]
-        if not stopping or draw.random() >= STOPPING_RELAY_PROBABILITY:
+        if not stopping or rng.random() >= STOPPING_RELAY_PROBABILITY:
             stopping = list(self._deployment.relay_names)
-        relay = draw.choice(stopping)
+        relay = rng.choice(stopping)
         caller = await self._deployment.open_connection(relay)
         return (
-            RelayConnection(relay, caller, draw.choice(REQUESTS_PER_CONNECTION))
+            RelayConnection(relay, caller, rng.choice(REQUESTS_PER_CONNECTION))
             if caller
             else None
         )
@@ -288,19 +293,19 @@
     relays: int = 2,
 ) -> Result:
     """Run one seed; with `stops` its faults are planned stops and concurrent faults."""
-    draw = random.Random(f"{seed} callers and servers")
+    rng = random.Random(f"{seed} callers and servers")
     # A separate generator makes the faults of a seed the same in each run.
-    faults_draw = random.Random(f"{seed} faults")
+    faults_rng = random.Random(f"{seed} faults")
     checker = GuaranteeChecker()
     async with standin_store() as store:
         slow_factor = SLOW_FACTOR if stops else 1.0
         deployment = SoakDeployment(
-            folder, store, checker, draw, variant, relays, slow_factor
+            folder, store, checker, rng, variant, relays, slow_factor
         )
         await deployment.start_servers()
         for name in deployment.machines:
             deployment.start(name)
-        callers = Callers(deployment, checker, draw, reuse_connections=stops)
+        callers = Callers(deployment, checker, rng, reuse_connections=stops)
         caller_count = (
             min(max(CALLER_COUNT, 2 * relays + 4), MAX_CALLERS)
             if stops
@@ -318,9 +323,9 @@
                 for number in range(caller_count):
                     group.start_soon(callers.run_programs, f"p{number}")
                 if stops:
-                    faults = await inject_stops(deployment, faults_draw, STOP_COUNT)
+                    faults = await inject_stops(deployment, faults_rng, STOP_COUNT)
                 else:
-                    faults = await inject_faults(deployment, faults_draw, FAULT_COUNT)
+                    faults = await inject_faults(deployment, faults_rng, FAULT_COUNT)
                 served = await _wait_served(callers, "end")
                 await anyio.sleep(LAST_RESUMPTION_S)
                 callers.stopped = True
--- a/tests/soak/stops.py
+++ b/tests/soak/stops.py
@@ -23,55 +23,55 @@
 TIMEOUTS_MS: Final = (2000, 3000, 6000)
 
 
-async def stop_one(deployment: SoakDeployment, draw: random.Random) -> None:
+async def stop_one(deployment: SoakDeployment, rng: random.Random) -> None:
     """Stop one relay."""
     running = deployment.running_relays()
     if running:
-        await deployment.stop(draw.choice(running))
+        await deployment.stop(rng.choice(running))
 
 
-async def stop_all(deployment: SoakDeployment, draw: random.Random) -> None:
+async def stop_all(deployment: SoakDeployment, rng: random.Random) -> None:
     """Stop all relays, each while the others are still stopping."""
-    names = draw.sample(deployment.relay_names, len(deployment.relay_names))
+    names = rng.sample(deployment.relay_names, len(deployment.relay_names))
     async with anyio.create_task_group() as group:
         for name in names:
             group.start_soon(deployment.stop, name)
-            await anyio.sleep(draw.uniform(0.0, MAX_GAP_S))
+            await anyio.sleep(rng.uniform(0.0, MAX_GAP_S))
 
 
-async def signal_twice(deployment: SoakDeployment, draw: random.Random) -> None:
+async def signal_twice(deployment: SoakDeployment, rng: random.Random) -> None:
     """Send SIGTERM again to all processes that are stopping."""
     for name in list(deployment.stopping):
         deployment.signal(name, signal.SIGTERM)
 
 
-async def reload_meanwhile(deployment: SoakDeployment, draw: random.Random) -> None:
+async def reload_meanwhile(deployment: SoakDeployment, rng: random.Random) -> None:
     """Send SIGHUP to every process a few times."""
-    for _ in range(draw.randint(1, 3)):
+    for _ in range(rng.randint(1, 3)):
         for name in deployment.machines:
             deployment.signal(name, signal.SIGHUP)
-        await anyio.sleep(draw.uniform(0.0, 2.0))
+        await anyio.sleep(rng.uniform(0.0, 2.0))
 
 
-async def stop_keeper(deployment: SoakDeployment, draw: random.Random) -> None:
+async def stop_keeper(deployment: SoakDeployment, rng: random.Random) -> None:
     """Stop a keeper as planned; no other is stopped until it has caught up."""
     async with deployment.keeper_lock:
-        await deployment.stop(draw.choice(KEEPERS))
+        await deployment.stop(rng.choice(KEEPERS))
         await anyio.sleep(CATCH_UP_S)
 
 
-async def reconfigure(deployment: SoakDeployment, draw: random.Random) -> None:
+async def reconfigure(deployment: SoakDeployment, rng: random.Random) -> None:
     """Change the configuration a few times."""
-    for _ in range(draw.randint(1, 3)):
-        deployment.configure(draw.choice(TIMEOUTS_MS))
-        await anyio.sleep(draw.uniform(0.0, 2.0))
+    for _ in range(rng.randint(1, 3)):
+        deployment.configure(rng.choice(TIMEOUTS_MS))
+        await anyio.sleep(rng.uniform(0.0, 2.0))
 
 
-async def kill_another(deployment: SoakDeployment, draw: random.Random) -> None:
+async def kill_another(deployment: SoakDeployment, rng: random.Random) -> None:
     """Kill a relay that is not stopping."""
     running = deployment.running_relays()
     if running:
-        name = draw.choice(running)
+        name = rng.choice(running)
         with deployment.checker.record_unplanned():
             await deployment.end_process(name)
             deployment.start(name)
@@ -91,27 +91,27 @@
 
 
 async def inject_stops(
-    deployment: SoakDeployment, draw: random.Random, count: int
+    deployment: SoakDeployment, rng: random.Random, count: int
 ) -> list[str]:
     """Run planned stops with concurrent faults; return the names of the faults."""
     fault_names: list[str] = []
     for _ in range(count):
-        concurrent = draw.sample(CONCURRENT_FAULTS, draw.randint(0, MAX_CONCURRENT))
-        planned = [(draw.uniform(0.0, 0.5), draw.choice(STOPS))]
+        concurrent = rng.sample(CONCURRENT_FAULTS, rng.randint(0, MAX_CONCURRENT))
+        planned = [(rng.uniform(0.0, 0.5), rng.choice(STOPS))]
         planned += [
-            (draw.uniform(0.0, MAX_START_DELAY_S), fault) for fault in concurrent
+            (rng.uniform(0.0, MAX_START_DELAY_S), fault) for fault in concurrent
         ]
         fault_names.append("+".join(fault.__name__ for _, fault in planned))
         async with anyio.create_task_group() as group:
             for wait_s, fault in planned:
                 # A separate generator makes the draws independent of timing.
-                fault_draw = random.Random(draw.random())
-                group.start_soon(_run_later, wait_s, fault, deployment, fault_draw)
+                fault_rng = random.Random(rng.random())
+                group.start_soon(_run_later, wait_s, fault, deployment, fault_rng)
     return fault_names
 
 
 async def _run_later(
-    wait_s: float, fault: Fault, deployment: SoakDeployment, draw: random.Random
+    wait_s: float, fault: Fault, deployment: SoakDeployment, rng: random.Random
 ) -> None:
     await anyio.sleep(wait_s)
-    await fault(deployment, draw)
+    await fault(deployment, rng)
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -123,7 +123,7 @@
         folder: Path,
         store: StoreStandin,
         checker: GuaranteeChecker,
-        draw: random.Random,
+        rng: random.Random,
         variant: Variant | None = None,
         relays: int = 2,
         slow_factor: float = 1.0,
@@ -134,11 +134,11 @@
         self._slow_factor = slow_factor
         self._config_version = 0
         self._folder = folder
-        self._draw = draw
+        self._rng = rng
         self._variant = variant
         self._ports = [int(free_address().rpartition(":")[2]) for _ in range(3)]
         # Concurrent soaks need different addresses.
-        ip_prefix = f"127.{draw.randint(1, 250)}.{draw.randint(1, 250)}"
+        ip_prefix = f"127.{rng.randint(1, 250)}.{rng.randint(1, 250)}"
         self.machines = {
             name: Machine(
                 name, role, f"{ip_prefix}.{10 + n}", f"z{1 + (n - 1) % ZONES}"
@@ -199,10 +199,10 @@
             return
         events = event_data(exchange.header("X-Request-Id"))
         reset_after = (
-            self._draw.randrange(len(events)) if self._draw_rare_fault() else -1
+            self._rng.randrange(len(events)) if self._draw_rare_fault() else -1
         )
         for number, data in enumerate(events, start=1):
-            await asyncio.sleep(self._slow_factor * self._draw.uniform(0.0, 0.03))
+            await asyncio.sleep(self._slow_factor * self._rng.uniform(0.0, 0.03))
             if number - 1 == reset_after:
                 self._reset_response(exchange)
                 return
@@ -212,7 +212,7 @@
     async def _plain(self, exchange: Exchange) -> None:
         if not await self._accept_request(exchange):
             return
-        await asyncio.sleep(self._slow_factor * self._draw.uniform(0.0, 0.05))
+        await asyncio.sleep(self._slow_factor * self._rng.uniform(0.0, 0.05))
         if self._draw_rare_fault():
             self._reset_response(exchange)
             return
@@ -238,7 +238,7 @@
         exchange.reset()
 
     def _draw_rare_fault(self) -> bool:
-        return self._draw.random() < 0.03
+        return self._rng.random() < 0.03
 
     # Machines
 
--- a/tests/virtual_loop.py
+++ b/tests/virtual_loop.py
@@ -34,8 +34,8 @@
         return self._virtual_selector.now
 
 
-def play_in_virtual_time(story: Callable[[], Awaitable[None]]) -> None:
-    anyio.run(story, backend_options={"loop_factory": VirtualLoop})
+def play_in_virtual_time(scenario: Callable[[], Awaitable[None]]) -> None:
+    anyio.run(scenario, backend_options={"loop_factory": VirtualLoop})
 
 
 class LoopTime:
--- a/wisteriastair/standins/engine_model.py
+++ b/wisteriastair/standins/engine_model.py
@@ -162,7 +162,7 @@
         return done
 
     def _admit(self) -> None:
-        # The sort is stable: requests of one priority stay in order of arrival.
+        # The sort is stable: requests of equal priority stay in order of arrival.
         self.waiting.sort(key=lambda r: -r.priority)
         while self.waiting and len(self.running) < self.speed.batch:
             request = self.waiting.pop(0)
@@ -188,11 +188,11 @@
         slowdown = 1.0 + BATCH_SLOWDOWN * (len(self.running) - 1)
         if any(request.uncomputed_tokens > 0 for request in self.running):
             slowdown /= PREFILL_DECODE_FRACTION
-        gain = dt_s * self.speed.decode_tokens_s / slowdown
+        gained_tokens = dt_s * self.speed.decode_tokens_s / slowdown
         for request in self.running:
             if request.uncomputed_tokens <= 0:
                 request.produced_tokens = min(
-                    request.output_tokens, request.produced_tokens + gain
+                    request.output_tokens, request.produced_tokens + gained_tokens
                 )
 
     # Cache
--- a/wisteriastair/standins/faults.py
+++ b/wisteriastair/standins/faults.py
@@ -109,10 +109,10 @@
     async def _run_programs(self) -> None:
         async with anyio.create_task_group() as group:
             for number in range(self.programs):
-                group.start_soon(self._run_one, number)
+                group.start_soon(self._run_program, number)
                 await anyio.sleep(self.random.expovariate(2.0))
 
-    async def _run_one(self, number: int) -> None:
+    async def _run_program(self, number: int) -> None:
         key = f"k{number}"
         is_appraisal = number % 2 == 0
         plan = (
@@ -170,10 +170,10 @@
             while self.is_running:
                 await anyio.sleep(2.0 + self.random.random())
                 url = self.deployment.entry_urls()[0]
-                seen = await self._operate(http, url, "show config")
-                if "rows" not in seen:
+                config_table = await self._operate(http, url, "show config")
+                if "rows" not in config_table:
                     continue
-                revision = seen["rows"][0][0]
+                revision = config_table["rows"][0][0]
                 number += 1
                 async with anyio.create_task_group() as group:
                     for budget in (BUDGET_TOKENS - number, BUDGET_TOKENS - number - 1):
@@ -423,6 +423,6 @@
     outcomes = Counter(o.status for o in run.outcomes)
     print(f"outcomes: {dict(sorted(outcomes.items()))}")
     for name, value in counts.items():
-        mark = "WRONG" if name in MUST_BE_ZERO and value else ""
-        print(f"  {name:<34} {value:>5} {mark}")
+        marker = "WRONG" if name in MUST_BE_ZERO and value else ""
+        print(f"  {name:<34} {value:>5} {marker}")
     return 1 if any(counts[name] for name in MUST_BE_ZERO) else 0
--- a/wisteriastair/standins/load.py
+++ b/wisteriastair/standins/load.py
@@ -95,8 +95,8 @@
     return office_workload() if user == "office" else label_workload()
 
 
-def deployment_for(workload: Workload, policy: str, seed: int) -> VirtualDeployment:
-    """Start a deployment for a workload under a policy."""
+def start_deployment(workload: Workload, policy: str, seed: int) -> VirtualDeployment:
+    """Start a deployment for a workload with a policy."""
     router, order, max_wait_s = POLICIES[policy]
     speed = EngineSpeed()
     deployment = VirtualDeployment(
@@ -208,7 +208,7 @@
 def execute_run(run: Run) -> Result:
     """Execute one run."""
     workload = workload_for_user(run.user)
-    deployment = deployment_for(workload, run.policy, run.seed)
+    deployment = start_deployment(workload, run.policy, run.seed)
     generator = _LoadGenerator(deployment, workload, run.seconds - WARM_UP_S)
     started_at = deployment.now
     generator.late_from_s = started_at + LATE_FRACTION * run.seconds
--- a/wisteriastair/standins/virtual_time.py
+++ b/wisteriastair/standins/virtual_time.py
@@ -35,11 +35,11 @@
 
     def run_until(self, condition: Callable[[], bool], limit_s: float) -> bool:
         """Advance until a condition holds; return False if the limit comes first."""
-        end = self.now + limit_s
-        while self._queue and self._queue[0][0] <= end:
+        end_s = self.now + limit_s
+        while self._queue and self._queue[0][0] <= end_s:
             if condition():
                 return True
             self.now, _, action = heapq.heappop(self._queue)
             action()
-        self.now = max(self.now, end)
+        self.now = max(self.now, end_s)
         return condition()
