--- a/tests/core/test_choice.py
+++ b/tests/core/test_choice.py
@@ -1,4 +1,4 @@
-"""Which server gets a request, replayed with several relays and lagged reports."""
+"""Server selection, simulated with several relays and delayed load reports."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 SLOTS = 16
 
 
-class Replay(NamedTuple):
-    """What a replay showed."""
+class SimulationResult(NamedTuple):
+    """Load of each server relative to the mean, and the longest queue."""
 
-    shares: dict[str, float]
-    most_waiting: int
+    relative_loads: dict[str, float]
+    max_waiting: int
 
 
 def make_fleet() -> Fleet:
@@ -32,83 +32,90 @@
     return fleet
 
 
-def replay(
-    *, per_s: float, work_s: float, slow: str = "", kilobytes: float = 0.0
-) -> Replay:
-    """Play 20 s of requests against servers that report with their answers."""
-    draw = random.Random(7)
+def simulate(
+    *,
+    requests_per_s: float,
+    service_time_s: float,
+    slow_server: str = "",
+    size_kb: float = 0.0,
+) -> SimulationResult:
+    """Simulate 20 s of requests to servers that report load in each response."""
+    rng = random.Random(7)
     fleets = [make_fleet() for _ in range(RELAYS)]
-    everyone = frozenset(f"s{n}" for n in range(SERVERS))
-    running = dict.fromkeys(everyone, 0)
-    served = dict.fromkeys(everyone, 0)
+    all_servers = frozenset(f"s{n}" for n in range(SERVERS))
+    running = dict.fromkeys(all_servers, 0)
+    served = dict.fromkeys(all_servers, 0)
     ends: list[tuple[float, int, str]] = []
-    most_waiting = 0
+    max_waiting = 0
     now = 0.0
     while now < 20.0:
-        now += draw.expovariate(per_s)
+        now += rng.expovariate(requests_per_s)
         while ends and ends[0][0] <= now:
             end, relay, name = heapq.heappop(ends)
             running[name] -= 1
-            state = known(fleets[relay], name)
+            state = server_state(fleets[relay], name)
             state.in_flight -= 1
             state.record_load(Load(running[name], 0, SLOTS), end)
-            state.record_success(work_s * (3 if name == slow else 1))
-        relay = draw.randrange(RELAYS)
-        want = SelectionContext(f"d{relay % 3}", (), frozenset(), kilobytes, everyone)
-        state_or_none = select_server(
-            fleets[relay].eligible_servers("svc", now), want, draw.randrange, now
+            state.record_success(service_time_s * (3 if name == slow_server else 1))
+        relay = rng.randrange(RELAYS)
+        context = SelectionContext(
+            f"d{relay % 3}", (), frozenset(), size_kb, all_servers
         )
-        assert state_or_none is not None
-        name = state_or_none.server.id
-        state_or_none.in_flight += 1
+        selected = select_server(
+            fleets[relay].eligible_servers("svc", now), context, rng.randrange, now
+        )
+        assert selected is not None
+        name = selected.server.id
+        selected.in_flight += 1
         running[name] += 1
         served[name] += 1
-        most_waiting = max(most_waiting, running[name] - SLOTS)
-        factor = 3 if name == slow else 1
-        took_s = work_s * factor * draw.uniform(0.5, 1.5)
-        heapq.heappush(ends, (now + took_s, relay, name))
+        max_waiting = max(max_waiting, running[name] - SLOTS)
+        factor = 3 if name == slow_server else 1
+        duration_s = service_time_s * factor * rng.uniform(0.5, 1.5)
+        heapq.heappush(ends, (now + duration_s, relay, name))
     mean = sum(served.values()) / SERVERS
-    return Replay({n: c / mean for n, c in served.items()}, most_waiting)
+    return SimulationResult({n: c / mean for n, c in served.items()}, max_waiting)
 
 
-def known(fleet: Fleet, name: str) -> ServerState:
+def server_state(fleet: Fleet, name: str) -> ServerState:
     state = fleet.get(name)
     assert state is not None
     return state
 
 
-def test_relays_that_do_not_talk_spread_a_busy_day() -> None:
-    """Five relays send 250 requests a second to six servers, two thirds of their room.
+def test_independent_relays_spread_a_high_load() -> None:
+    """Five relays send 250 requests per second to six servers at two-thirds load.
 
-    Each knows its own requests and reports as old as its last answer from a server.  If
-    they all took the emptiest reported server, it would fill up while others idle.
+    Each relay knows its own requests, and reports as old as its last response from a
+    server. If all selected the server with the lowest reported load, it would be
+    overloaded while others idle.
     """
-    result = replay(per_s=250, work_s=0.25)
-    assert max(result.shares.values()) < 1.15
-    assert result.most_waiting <= 6
+    result = simulate(requests_per_s=250, service_time_s=0.25)
+    assert max(result.relative_loads.values()) < 1.15
+    assert result.max_waiting <= 6
 
 
-def test_a_slow_server_gets_less() -> None:
-    result = replay(per_s=120, work_s=0.25, slow="s2")
-    assert 0.2 < result.shares["s2"] < 0.6
-    assert result.most_waiting <= 0
+def test_a_slow_server_gets_fewer_requests() -> None:
+    result = simulate(requests_per_s=120, service_time_s=0.25, slow_server="s2")
+    assert 0.2 < result.relative_loads["s2"] < 0.6
+    assert result.max_waiting <= 0
 
 
-def test_large_requests_stay_in_their_domain_while_there_is_room() -> None:
-    """A calm day: turns of 20 kB cross domains only for a reason."""
+def test_large_requests_stay_in_their_domain_while_it_has_capacity() -> None:
+    """At low load, requests of 20 kB leave a domain only if it is loaded."""
     fleet = make_fleet()
-    draw = random.Random(1)
-    everyone = frozenset(f"s{n}" for n in range(SERVERS))
-    want = SelectionContext("d1", (), frozenset(), 20.0, everyone)
+    rng = random.Random(1)
+    all_servers = frozenset(f"s{n}" for n in range(SERVERS))
+    context = SelectionContext("d1", (), frozenset(), 20.0, all_servers)
     for _ in range(50):
         chosen = select_server(
-            fleet.eligible_servers("svc", 0.0), want, draw.randrange, 0.0
+            fleet.eligible_servers("svc", 0.0), context, rng.randrange, 0.0
         )
         assert chosen is not None and chosen.server.domain == "d1"
     for name in ("s1", "s4"):
-        known(fleet, name).in_flight = 4
+        server_state(fleet, name).in_flight = 4
     chosen = select_server(
-        fleet.eligible_servers("svc", 0.0), want, draw.randrange, 0.0
+        fleet.eligible_servers("svc", 0.0), context, rng.randrange, 0.0
     )
     assert chosen is not None and chosen.server.domain != "d1"
 
@@ -121,58 +128,58 @@
     return fleet
 
 
-def test_of_very_many_servers_those_that_matter_are_compared() -> None:
-    """With 1,500 servers each choice took 8 ms of a relay's processor.
+def test_preferred_servers_are_compared_among_many() -> None:
+    """Comparing all of 1,500 servers took 8 ms of CPU time per selection.
 
-    Whatever is left out, the server that has read the prompt and the agreed one must be
-    among those compared, and an idle channel is used where nothing speaks against it.
+    The server that has the prompt cached and the rendezvous server must be among those
+    compared, and an idle connection must be used if nothing else differs.
     """
-    draw = random.Random(3)
+    rng = random.Random(3)
     fleet = many_servers(1_500)
     servers = fleet.eligible_servers("svc", 0.0)
-    parts = (PromptSegment("shared", 12_600), PromptSegment("line", 1_000))
-    agreed = "s701"
+    segments = (PromptSegment("shared", 12_600), PromptSegment("line", 1_000))
+    rendezvous_id = "s701"
     for _ in range(50):
-        want = SelectionContext(
-            "d1", parts, frozenset(), 17.0, frozenset(), agreed=agreed
+        context = SelectionContext(
+            "d1", segments, frozenset(), 17.0, frozenset(), rendezvous_id=rendezvous_id
         )
-        chosen = select_server(servers, want, draw.randrange, 0.0)
-        assert chosen is not None and chosen.server.id == agreed
-    known(fleet, "s702").cached_segments.add(parts)
+        chosen = select_server(servers, context, rng.randrange, 0.0)
+        assert chosen is not None and chosen.server.id == rendezvous_id
+    server_state(fleet, "s702").cached_segments.add(segments)
     for _ in range(50):
-        want = SelectionContext(
-            "d1", parts, frozenset(), 17.0, frozenset(), agreed=agreed
+        context = SelectionContext(
+            "d1", segments, frozenset(), 17.0, frozenset(), rendezvous_id=rendezvous_id
         )
-        chosen = select_server(servers, want, draw.randrange, 0.0)
+        chosen = select_server(servers, context, rng.randrange, 0.0)
         assert chosen is not None and chosen.server.id == "s702"
-    near = frozenset(f"s{n}.0" for n in range(1, 200, 5))
+    connected = frozenset(f"s{n}.0" for n in range(1, 200, 5))
     for _ in range(50):
-        want = SelectionContext("d1", (), frozenset(), 1.0, near)
-        chosen = select_server(servers, want, draw.randrange, 0.0)
-        assert chosen is not None and chosen.incarnation in near
+        context = SelectionContext("d1", (), frozenset(), 1.0, connected)
+        chosen = select_server(servers, context, rng.randrange, 0.0)
+        assert chosen is not None and chosen.incarnation in connected
 
 
-def test_very_many_servers_share_a_load_evenly() -> None:
-    """60 relays send 4,000 requests at once to 1,000 servers of 6 places each."""
-    draw = random.Random(5)
+def test_many_servers_share_a_load_evenly() -> None:
+    """60 relays send 4,000 requests at once to 1,000 servers."""
+    rng = random.Random(5)
     fleets = [many_servers(1_000) for _ in range(60)]
     counts: Counter[str] = Counter()
     for number in range(4_000):
         fleet = fleets[number % 60]
-        want = SelectionContext(f"d{number % 5}", (), frozenset(), 1.0, frozenset())
+        context = SelectionContext(f"d{number % 5}", (), frozenset(), 1.0, frozenset())
         chosen = select_server(
-            fleet.eligible_servers("svc", 0.0), want, draw.randrange, 0.0
+            fleet.eligible_servers("svc", 0.0), context, rng.randrange, 0.0
         )
         assert chosen is not None
         chosen.in_flight += 1
         counts[chosen.server.id] += 1
-    # Twice what a fair draw gives at most (4 at the mean, 13 at the fullest of 1,000).
+    # Twice the maximum of a fair draw (mean 4, maximum 13 of 1,000 servers).
     assert max(counts.values()) <= 26
 
 
-def test_servers_that_refused_are_not_asked_again() -> None:
+def test_servers_that_rejected_a_request_are_not_selected_again() -> None:
     fleet = make_fleet()
     tried = frozenset(f"s{n}" for n in range(SERVERS))
-    want = SelectionContext("d1", (), tried, 0.0, frozenset())
+    context = SelectionContext("d1", (), tried, 0.0, frozenset())
     servers = fleet.eligible_servers("svc", 0.0)
-    assert select_server(servers, want, random.Random(1).randrange, 0.0) is None
+    assert select_server(servers, context, random.Random(1).randrange, 0.0) is None
--- a/tests/core/test_customers.py
+++ b/tests/core/test_customers.py
@@ -1,4 +1,4 @@
-"""Who holds which key, and names that customers choose alike."""
+"""Key lookup, and qualified names of programs and turns."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 TWO = Customer("two", 0, None)
 
 
-def test_a_key_finds_its_customer_and_only_by_its_digest() -> None:
+def test_customer_is_found_only_by_key_digest() -> None:
     customers = Customers([(ONE, [digest_key(b"k1"), digest_key(b"k2")]), (TWO, [])])
     assert customers.find_by_digest(digest_key(b"k2")) is ONE
     assert customers.find_by_digest(digest_key(b"k3")) is None
@@ -16,20 +16,20 @@
     assert customers.find_by_digest("") is None
 
 
-def test_a_key_of_two_customers_is_nobodys() -> None:
-    """By a slip of the operators two customers hold one key.
+def test_a_key_of_two_customers_is_valid_for_neither() -> None:
+    """Two customers are configured with the same key by mistake.
 
-    Whichever were taken, requests of the other would run in its name.  So neither is,
-    both go on with their other keys, and the log names them.
+    Requests with the key could run as the wrong customer. The key must be valid for
+    neither, their other keys must work, and the problem must name the customer.
     """
-    shared, own = digest_key(b"shared"), digest_key(b"own")
-    customers = Customers([(ONE, [shared, own]), (TWO, [shared])])
+    shared, valid = digest_key(b"shared"), digest_key(b"own")
+    customers = Customers([(ONE, [shared, valid]), (TWO, [shared])])
     assert customers.find_by_digest(shared) is None
-    assert customers.find_by_digest(own) is ONE
+    assert customers.find_by_digest(valid) is ONE
     assert [problem.customer for problem in customers.problems] == ["two"]
 
 
-def test_names_of_two_customers_never_meet() -> None:
+def test_names_of_two_customers_never_collide() -> None:
     assert scoped_name("a", "p") != scoped_name("b", "p")
     assert scoped_name("", "p") == "p"
-    assert scoped_name("a", "") == "", "no turn stays no turn"
+    assert scoped_name("a", "") == "", "an empty name stays empty"
--- a/tests/core/test_fleet.py
+++ b/tests/core/test_fleet.py
@@ -1,12 +1,12 @@
-"""Which servers may get work, by their entries and their answers."""
+"""Eligibility of servers by their store entries and their responses."""
 
 from __future__ import annotations
 
 from wisteriastair.core.fleet import (
     EJECTION_FAILURES,
-    OTHERS_WEIGHT,
-    OWN_WEIGHT,
-    SERVERS_TO_SUSPECT,
+    MIN_SERVERS_FAST_EJECTION,
+    OTHER_REQUEST_WEIGHT,
+    OWN_REQUEST_WEIGHT,
     Fleet,
     Load,
     Server,
@@ -19,28 +19,28 @@
 
 
 def fleet(*ids: str) -> Fleet:
-    made = Fleet(drain_s=2.0)
+    new_fleet = Fleet(drain_s=2.0)
     for server_id in ids:
-        made.put(server(server_id))
-    return made
+        new_fleet.put(server(server_id))
+    return new_fleet
 
 
 def eligible_servers(under_test: Fleet, now: float) -> set[str]:
     return {state.server.id for state in under_test.eligible_servers("svc", now)}
 
 
-def test_a_server_that_leaves_gets_nothing_new() -> None:
+def test_a_leaving_server_gets_no_new_requests() -> None:
     under_test = fleet("a", "b", "c")
     under_test.put(server("a", draining=True))
     under_test.remove("b", 10.0)
     assert eligible_servers(under_test, 10.1) == {"c"}
 
 
-def test_a_server_that_starts_again_under_its_id_begins_with_nothing() -> None:
-    """A full server crashes and comes back under the id that it had.
+def test_a_restarted_server_loses_its_state() -> None:
+    """A loaded server crashes and comes back under the same id.
 
-    It is empty and has read nothing.  Callers would go round it for its old load and
-    failures, or be led to it for a prompt that it no longer holds.
+    It is idle and has an empty cache. With its old state, requests would avoid it for
+    its load and failures, or go to it for a prompt that it no longer has cached.
     """
     under_test = Fleet(drain_s=2.0)
     first = server("a")._replace(born=100)
@@ -57,16 +57,17 @@
     assert under_test.put(first._replace(born=200)) == first._replace(draining=True)
     after = under_test.get("a")
     assert after is not None and after is not before
-    assert (after.load(10.1), after.in_flight, after.rests_until) == (0.0, 0, 0.0)
+    assert (after.load(10.1), after.in_flight, after.ejected_until) == (0.0, 0, 0.0)
     assert "prompt" not in after.cached_segments and after.overloaded_until == 0.0
     assert eligible_servers(under_test, 10.1) == {"a"}
 
 
-def test_the_last_server_is_used_only_while_it_still_serves() -> None:
-    """The only server's entry vanishes in ordinary times.
+def test_the_last_server_is_used_only_while_it_still_serves_after_removal() -> None:
+    """The only server's entry is removed in normal operation.
 
-    It may be a lapse, so it is used a little longer; but a server that has left exits
-    two seconds later, and what is sent to it then reaches nobody, or somebody else.
+    Its lease may have expired, so it stays in use for a short time. A server that has
+    left exits after two seconds. Requests sent later reach no process, or the wrong
+    one.
     """
     under_test = fleet("a")
     under_test.remove("a", 10.0)
@@ -74,10 +75,10 @@
     assert eligible_servers(under_test, 11.9) == set()
 
 
-def test_entries_that_lapsed_with_the_store_go_on_being_used() -> None:
-    """The store was away and all entries lapsed; they come back one by one.
+def test_servers_with_entries_expired_in_an_outage_stay_in_use() -> None:
+    """All entries expired in an outage of the store and come back one by one.
 
-    If only those that are back were used, the first would get the load of all.
+    If only the returned servers were used, the first would get the load of all.
     """
     under_test = fleet("a", "b", "c")
     under_test.store_unstable = True
@@ -86,15 +87,15 @@
     under_test.put(server("a"))
     assert eligible_servers(under_test, 11.0) == {"a", "b", "c"}
     assert eligible_servers(under_test, 12.7) == {"a"}
-    assert [gone.id for gone in under_test.remove_expired(12.7)] == ["b", "c"]
+    assert [removed.id for removed in under_test.remove_expired(12.7)] == ["b", "c"]
 
 
-def test_a_server_that_leaves_just_after_an_outage_is_not_taken_for_lapsed() -> None:
-    """The store has been back for a moment when a server's entry ends.
+def test_a_server_that_leaves_just_after_an_outage_is_not_used() -> None:
+    """A server's entry is removed shortly after the store has come back.
 
-    It was there in the first answer after the outage, so it has not lapsed: the server
-    leaves, and exits two seconds later.  Used beside others for as long as it might
-    serve, it got a request that had waited for its connection after it had gone.
+    The entry was present in the first listing after the outage, so the server is
+    leaving and exits after two seconds. If it stayed in use beside the others, a
+    request that waited for its connection could be sent after the exit.
     """
     under_test = fleet("a", "b")
     under_test.store_unstable = True
@@ -103,11 +104,11 @@
     assert eligible_servers(under_test, 11.5) == {"b"}
 
 
-def test_most_entries_of_a_service_do_not_end_because_their_servers_leave() -> None:
-    """The store is back, and entries whose heartbeats it has missed end after that.
+def test_servers_stay_in_use_if_most_entries_are_removed_after_an_outage() -> None:
+    """Entries are removed after an outage because their heartbeats were missed.
 
-    If only those that are left were used, they would get the load of all.  It is still
-    no longer than servers that leave serve.
+    If only the remaining servers were used, they would get the load of all. The removed
+    ones must not stay in use for longer than leaving servers serve.
     """
     under_test = fleet("a", "b", "c")
     under_test.store_unstable = True
@@ -117,25 +118,26 @@
     assert eligible_servers(under_test, 11.1) == {"c"}
 
 
-def test_failures_in_a_row_make_a_server_rest_but_never_all_of_them() -> None:
+def test_consecutive_failures_eject_a_server_but_never_all_servers() -> None:
     under_test = fleet("a", "b")
     for server_id in ("a", "b"):
         state = under_test.get(server_id)
         assert state is not None
-        rests = [state.record_failure(10.0) for _ in range(EJECTION_FAILURES)]
-        assert rests == [False, False, True]
+        ejections = [state.record_failure(10.0) for _ in range(EJECTION_FAILURES)]
+        assert ejections == [False, False, True]
         if server_id == "a":
             assert eligible_servers(under_test, 10.1) == {"b"}
     assert eligible_servers(under_test, 10.1) == {"a", "b"}
     assert eligible_servers(under_test, 11.1) == {"a", "b"}
 
 
-def test_of_many_servers_one_rests_after_a_single_failure() -> None:
-    """One of 30 servers answers errors at once; 60 relays send to it in turn.
+def test_one_failure_ejects_a_server_of_a_large_service() -> None:
+    """One of 30 servers fails at once; 60 relays send requests to it in turn.
 
-    Each waited for three failures in a row of its own, and took seconds to get them.
+    If each relay waited for three consecutive failures of its own, ejecting the server
+    would take seconds.
     """
-    many = fleet(*(f"s{n}" for n in range(SERVERS_TO_SUSPECT)))
+    many = fleet(*(f"s{n}" for n in range(MIN_SERVERS_FAST_EJECTION)))
     few = fleet("s0", "s1")
     for under_test in (many, few):
         state = under_test.get("s0")
@@ -147,15 +149,15 @@
     assert "s0" in eligible_servers(few, 10.1)
 
 
-def test_own_requests_weigh_more_than_what_others_had() -> None:
-    """A report is some answers old; own requests are known exactly."""
+def test_own_requests_weigh_more_than_reported_ones() -> None:
+    """Reports are some responses old; own requests are known exactly."""
     under_test = fleet("a")
     state = under_test.get("a")
     assert state is not None
     state.in_flight = 2
     state.record_load(Load(5, 1, 8), 10.0)
-    others = OTHERS_WEIGHT * 4
-    assert state.load(10.1) == 2 * OWN_WEIGHT + others
+    others = OTHER_REQUEST_WEIGHT * 4
+    assert state.load(10.1) == 2 * OWN_REQUEST_WEIGHT + others
     state.in_flight = 5
-    assert state.load(10.1) == 5 * OWN_WEIGHT + others
-    assert state.load(12.0) == 5 * OWN_WEIGHT
+    assert state.load(10.1) == 5 * OWN_REQUEST_WEIGHT + others
+    assert state.load(12.0) == 5 * OWN_REQUEST_WEIGHT
--- a/wisteriastair/core/choice.py
+++ b/wisteriastair/core/choice.py
@@ -1,12 +1,13 @@
-"""Which backend server gets a request.
-
-The load pattern: several relays choose at once for the same servers, each knowing its
-own requests and reports that are some answers old.  The cost of a server is the share
-of its places that are taken, plus what it would have to read of the prompt, plus the
-way to another failure domain, plus a charge where the prompt's beginning is led to
-other servers.
-Costs that are nearly equal are decided by a draw, so that relays with the same reports
-do not all go to the same server.
+"""Selection of a backend server for a request.
+
+Load pattern: several relays select servers at the same time. Each relay knows its own
+requests exactly, and the load of the servers only from reports that are some responses
+old. The cost of a server is the sum of its load as a fraction of its concurrency, the
+part of the prompt that it would have to compute, the transfer to another failure
+domain, and a charge if it is not an affinity server of the prompt's shared prefix.
+
+Ties between nearly equal costs are broken at random, so that relays with the same
+reports do not all select the same server.
 """
 
 from __future__ import annotations
@@ -15,154 +16,173 @@
 from typing import Final, NamedTuple
 
 from .fleet import ServerState
-from .reuse import FIRST_OWN, PromptSegment
-
-# Share of a server's places that a detour to another failure domain is worth: a little
-# for the way, and more for each byte of the request, since traffic between domains is
-# paid for.
-OTHER_DOMAIN: Final = 0.04
-OTHER_DOMAIN_PER_KB: Final = 0.01
-# A server to which a channel is open is worth this share of its places: opening one
-# takes a round trip, and the server's time.  Less than one own request counts: else the
-# turns of a busy server go to wherever a channel is idle, away from what has read their
-# prompts.
-CHANNEL_OPEN: Final = 0.06
-# A server that has to read the whole prompt counts as fuller by this share of its
-# places, since reading it stops the decoding of all that runs there.
-PROMPT_READ: Final = 1.0
-# A server that the prompt's beginning is not led to counts as fuller by this share of
-# its places: more than one own request at a server of eight places, less than two.
-NOT_A_HOME: Final = 0.5
-# Costs closer than this are decided by a draw.
-NEARLY_EQUAL: Final = 0.01
-# A server that is slower than the mean of its service counts as fuller by this times
-# its excess share.  Little: requests stay longer on a slow server and so count there by
-# themselves.
-SLOWNESS: Final = 0.1
-# Servers that are compared with each other; of more, only those that something speaks
-# for and some that are drawn, since comparing all would cost more than the rest of a
+from .reuse import FIRST_PRIVATE, PromptSegment
+
+# Cost of a server in another failure domain, as a fraction of its concurrency. The cost
+# per kilobyte of the request stands for the price of traffic between domains.
+CROSS_DOMAIN_COST: Final = 0.04
+CROSS_DOMAIN_COST_PER_KB: Final = 0.01
+# Cost of opening a connection: a round trip and time of the server. It is below the
+# cost of one own request. Otherwise the turns of a busy server would move to any server
+# with an idle connection, away from the cached prompts.
+NEW_CONN_COST: Final = 0.06
+# Cost of a server that has to compute the whole prompt. Prefill stops the decoding of
+# all requests that run on the server.
+PREFILL_COST: Final = 1.0
+# Cost of a server that is not an affinity server of the shared prefix: more than one
+# own request on a server with a concurrency of eight, less than two.
+NON_AFFINITY_COST: Final = 0.5
+# Costs within this margin count as equal and are decided at random.
+TIE_MARGIN: Final = 0.01
+# Cost of a server per unit of relative excess over the mean response time of its
+# service. It is low because requests stay longer on a slow server and thus already
+# raise its load.
+SLOWNESS_COST: Final = 0.1
+# Maximum number of servers to compare. If there are more, only the preferred ones and a
+# random sample are compared, as a full comparison would cost more than the rest of a
 # turn.
-MOST_COMPARED: Final = 64
-# Servers drawn of each sort.  The best of a dozen is among the best tenth of all in
-# seven of ten draws.
-MOST_DRAWN: Final = 12
+MAX_CANDIDATES: Final = 64
+# Samples drawn from each group of servers. The best of 12 is among the best tenth of
+# all servers in seven of ten samples.
+MAX_SAMPLES_PER_GROUP: Final = 12
 
 
 class SelectionContext(NamedTuple):
-    """What the choice needs to know of a request.
+    """Properties of a request that determine the selection.
 
     Attributes
     ----------
     domain : str
         Failure domain of this process.
-    parts : tuple of PromptSegment
-        Parts of the prompt, those shared most first.
+    segments : tuple of PromptSegment
+        Segments of the prompt, the most widely shared first.
     tried : frozenset of str
-        Servers that have refused this request.
-    kilobytes : float
-        Size of the request.
+        Servers that have rejected this request.
+    size_kb : float
+        Size of the request in kilobytes.
     connected : frozenset of str
-        Starts of servers to which a channel is open and idle.
+        Incarnations of servers to which an idle connection is open.
     affinity_servers : frozenset of str
-        Servers that the prompt's beginning is led to; empty for no restriction.
-    agreed : str
-        Server that all processes take for the program's; empty for none.
+        Affinity servers of the shared prefix; empty for no restriction.
+    rendezvous_id : str
+        Server that all processes choose for the program by rendezvous hash; empty for
+        none.
     """
 
     domain: str
-    parts: tuple[PromptSegment, ...]
+    segments: tuple[PromptSegment, ...]
     tried: frozenset[str]
-    kilobytes: float
+    size_kb: float
     connected: frozenset[str]
     affinity_servers: frozenset[str] = frozenset()
-    agreed: str = ""
+    rendezvous_id: str = ""
 
 
 def select_server(
     servers: list[ServerState],
     context: SelectionContext,
-    draw: Callable[[int], int],
+    randbelow: Callable[[int], int],
     now: float,
 ) -> ServerState | None:
-    """Choose a server, or None if there is none left to try.
+    """Select a server, or return None if every server was tried.
 
     Parameters
     ----------
-    draw : callable
-        Draws a number below the one given.
+    randbelow : callable
+        Returns a random integer below its argument.
     """
-    left = servers
+    candidates = servers
     if context.tried:
-        left = [state for state in servers if state.server.id not in context.tried]
-    if not left:
+        candidates = [
+            state for state in servers if state.server.id not in context.tried
+        ]
+    if not candidates:
         return None
-    if len(left) > MOST_COMPARED:
-        left = _narrowed(left, context, draw)
-    times = [state.mean_s for state in left if state.mean_s > 0]
+    if len(candidates) > MAX_CANDIDATES:
+        candidates = _sample_candidates(candidates, context, randbelow)
+    times = [state.mean_response_s for state in candidates if state.mean_response_s > 0]
     mean_s = sum(times) / len(times) if times else 0.0
-    agreed = "" if _is_known(context, left) else context.agreed
-    costs = _costs(left, context, agreed, mean_s, now)
-    near_cost = min(costs) + NEARLY_EQUAL
-    near = [state for state, cost in zip(left, costs, strict=True) if cost <= near_cost]
-    return near[draw(len(near))]
+    rendezvous_id = (
+        "" if _has_sent_program(context, candidates) else context.rendezvous_id
+    )
+    costs = _costs(candidates, context, rendezvous_id, mean_s, now)
+    max_tied_cost = min(costs) + TIE_MARGIN
+    tied = [
+        state
+        for state, cost in zip(candidates, costs, strict=True)
+        if cost <= max_tied_cost
+    ]
+    return tied[randbelow(len(tied))]
 
 
-def _narrowed(
-    servers: list[ServerState], context: SelectionContext, draw: Callable[[int], int]
+def _sample_candidates(
+    servers: list[ServerState],
+    context: SelectionContext,
+    randbelow: Callable[[int], int],
 ) -> list[ServerState]:
-    """Leave the servers that something speaks for, and some that are drawn.
+    """Keep the preferred servers and a random sample of the others.
 
-    A server is spoken for by what it has read of the prompt, by the agreement, or by an
-    idle channel.  The drawn ones keep many processes that know little of the load from
-    meeting at the same servers.
+    The preferred servers are the rendezvous server and the servers that have this
+    program's prompt cached. Sampling the servers with idle connections, the affinity
+    servers and all servers keeps processes that know little of the load from converging
+    on the same servers.
     """
-    own = context.parts[FIRST_OWN].id if len(context.parts) > FIRST_OWN else ""
+    program_segment_id = (
+        context.segments[FIRST_PRIVATE].id
+        if len(context.segments) > FIRST_PRIVATE
+        else ""
+    )
     chosen = {
         state.incarnation: state
         for state in servers
-        if state.server.id == context.agreed or (own and own in state.cached_segments)
+        if state.server.id == context.rendezvous_id
+        or (program_segment_id and program_segment_id in state.cached_segments)
     }
     idle = [state for state in servers if state.incarnation in context.connected]
     affinity_servers = [
         state for state in servers if state.server.id in context.affinity_servers
     ]
-    for some in (idle, affinity_servers, servers):
-        for _ in range(min(MOST_DRAWN, len(some))):
-            state = some[draw(len(some))]
+    for group in (idle, affinity_servers, servers):
+        for _ in range(min(MAX_SAMPLES_PER_GROUP, len(group))):
+            state = group[randbelow(len(group))]
             chosen[state.incarnation] = state
     return list(chosen.values())
 
 
-def _is_known(context: SelectionContext, servers: list[ServerState]) -> bool:
-    """Whether this process has sent the program to one of the servers."""
-    own = context.parts[FIRST_OWN:]
-    return bool(own) and any(own[0].id in state.cached_segments for state in servers)
+def _has_sent_program(context: SelectionContext, servers: list[ServerState]) -> bool:
+    """Return whether this process has sent the program to one of the servers."""
+    private_segments = context.segments[FIRST_PRIVATE:]
+    return bool(private_segments) and any(
+        private_segments[0].id in state.cached_segments for state in servers
+    )
 
 
 def _costs(
     states: list[ServerState],
     context: SelectionContext,
-    agreed: str,
+    rendezvous_id: str,
     mean_s: float,
     now: float,
 ) -> list[float]:
-    """Work out the costs of servers, in shares of their places."""
-    elsewhere = OTHER_DOMAIN + OTHER_DOMAIN_PER_KB * context.kilobytes
-    total = sum(part.tokens for part in context.parts)
+    """Compute the costs of servers as fractions of their concurrency."""
+    cross_domain_cost = CROSS_DOMAIN_COST + CROSS_DOMAIN_COST_PER_KB * context.size_kb
+    total = sum(segment.tokens for segment in context.segments)
     costs = []
     for state in states:
         server = state.server
         cost = (state.load(now) + 1) / server.slots
         if server.domain != context.domain:
-            cost += elsewhere
+            cost += cross_domain_cost
         if state.incarnation not in context.connected:
-            cost += CHANNEL_OPEN
+            cost += NEW_CONN_COST
         if context.affinity_servers and server.id not in context.affinity_servers:
-            cost += NOT_A_HOME
-        if total > 0 and server.id != agreed:
-            cost += PROMPT_READ * state.cached_segments.lacking(context.parts, total)
-        if state.mean_s > mean_s > 0:
-            cost += SLOWNESS * (state.mean_s / mean_s - 1)
+            cost += NON_AFFINITY_COST
+        if total > 0 and server.id != rendezvous_id:
+            cost += PREFILL_COST * state.cached_segments.missing_fraction(
+                context.segments, total
+            )
+        if state.mean_response_s > mean_s > 0:
+            cost += SLOWNESS_COST * (state.mean_response_s / mean_s - 1)
         if state.overloaded_until > now:
             cost += 1.0
         costs.append(cost)
--- a/wisteriastair/core/reuse.py
+++ b/wisteriastair/core/reuse.py
@@ -1,13 +1,14 @@
-"""What of a prompt a backend server has read before, as far as this process knows.
+"""Estimate of the prompt segments that backend servers have cached.
 
-The load pattern: turns of one program come one after another, each prompt beginning
-with all that was said before.  A server that ran the turn before reads only what is
-new.  A process knows what it sent to a server itself, part by part with its tokens.
+Load pattern: the turns of a program follow one another, and each prompt starts with the
+whole conversation so far. The server that ran the previous turn computes only the new
+tokens. A process knows the segments, with their tokens, that it has sent to each
+server.
 
-Callers move between processes, and the relay that gets the next turn knows nothing of
-the program.  So all agree on a server for it by rendezvous hash of the program's first
-own part, and count that server as having read the prompt.  Else most of it would be
-read again on another server.
+Callers move between processes, and the relay that gets the next turn may know nothing
+of the program. All processes therefore choose the same server for a program by
+rendezvous hash of its first private segment, and assume that this server has the prompt
+cached. Without this, another server would compute most of the prompt again.
 """
 
 from __future__ import annotations
@@ -19,90 +20,96 @@
 
 from .hashing import hash64
 
-# Parts remembered for one server: the turns of some minutes at 2.4 a second.
-MOST_PARTS: Final = 512
-# Servers that are compared for a program; of more, only those that follow the program's
-# place in the order of their hashes.
-MOST_RANKED: Final = 64
-# The parts before this one are shared with other programs.
-FIRST_OWN: Final = 1
+# Maximum number of segments stored per server: the turns of some minutes at 2.4 turns
+# per second.
+MAX_SEGMENTS: Final = 512
+# Maximum number of servers ranked for a program. If there are more, only those that
+# follow the program's hash on the hash ring are ranked.
+MAX_RANKED: Final = 64
+# Index of the first segment that belongs to one program only.
+FIRST_PRIVATE: Final = 1
 
 
 class PromptSegment(NamedTuple):
-    """A part of a prompt; the last ones belong to the program or its line of turns."""
+    """A segment of a prompt. The last ones belong to one program or session."""
 
     id: str
     tokens: int
 
 
 class CachedSegments:
-    """Parts that one server has read, with their tokens; the oldest are forgotten."""
+    """Segments that one server has probably cached; the oldest are evicted."""
 
     def __init__(self) -> None:
         self._tokens: dict[str, int] = {}
 
-    def __contains__(self, part_id: str) -> bool:
-        return part_id in self._tokens
+    def __contains__(self, segment_id: str) -> bool:
+        return segment_id in self._tokens
 
     def __len__(self) -> int:
         return len(self._tokens)
 
-    def add(self, parts: Iterable[PromptSegment]) -> None:
-        """Note that a server has read a prompt."""
-        for part in parts:
-            self._tokens[part.id] = max(part.tokens, self._tokens.pop(part.id, 0))
-        while len(self._tokens) > MOST_PARTS:
+    def add(self, segments: Iterable[PromptSegment]) -> None:
+        """Add the segments of a prompt that the server has computed."""
+        for segment in segments:
+            self._tokens[segment.id] = max(
+                segment.tokens, self._tokens.pop(segment.id, 0)
+            )
+        while len(self._tokens) > MAX_SEGMENTS:
             del self._tokens[next(iter(self._tokens))]
 
-    def lacking(self, parts: tuple[PromptSegment, ...], total: int = 0) -> float:
-        """Share of a prompt's tokens that the server would have to read.
+    def missing_fraction(
+        self, segments: tuple[PromptSegment, ...], total: int = 0
+    ) -> float:
+        """Return the fraction of a prompt's tokens that the server has to compute.
 
-        A part counts only if all before it are there too, as in the server's cache.
+        As in the server's prefix cache, a segment counts only if all segments before it
+        are cached too.
 
         Parameters
         ----------
         total : int
-            Tokens of all parts, if they have been added up already.
+            Tokens of all segments if already known, else 0.
         """
-        total = total or sum(part.tokens for part in parts)
+        total = total or sum(segment.tokens for segment in segments)
         if total <= 0:
             return 0.0
         known = self._tokens
-        held = 0
-        for part_id, tokens in parts:
-            had = known.get(part_id, 0)
-            if had < tokens:
-                held += had
+        cached_tokens = 0
+        for segment_id, tokens in segments:
+            known_tokens = known.get(segment_id, 0)
+            if known_tokens < tokens:
+                cached_tokens += known_tokens
                 break
-            held += tokens
-        return 1.0 - held / total
+            cached_tokens += tokens
+        return 1.0 - cached_tokens / total
 
 
 def rendezvous_server(
-    parts: tuple[PromptSegment, ...], servers: tuple[str, ...]
+    segments: tuple[PromptSegment, ...], servers: tuple[str, ...]
 ) -> str:
-    """Id of the server that all processes take for a program's; empty for none.
+    """Return the server that all processes choose for a program; empty for none.
 
     Parameters
     ----------
     servers : tuple of str
-        Ids of the servers that may get work.
+        Ids of the servers that may get requests.
     """
-    if len(parts) <= FIRST_OWN or not servers:
+    if len(segments) <= FIRST_PRIVATE or not servers:
         return ""
-    return _first(parts[FIRST_OWN].id, servers)
+    return _top_ranked(segments[FIRST_PRIVATE].id, servers)
 
 
 @lru_cache(maxsize=4096)
-def _first(part_id: str, servers: tuple[str, ...]) -> str:
-    if len(servers) > MOST_RANKED:
-        order = _hash_order(servers)
-        start = bisect(order, (hash64("program", part_id), ""))
-        around = (order[(start + n) % len(order)] for n in range(MOST_RANKED))
-        servers = tuple(name for _, name in around)
-    return max(servers, key=lambda name: hash64("program", part_id, name))
+def _top_ranked(segment_id: str, servers: tuple[str, ...]) -> str:
+    if len(servers) > MAX_RANKED:
+        order = _servers_by_hash(servers)
+        start = bisect(order, (hash64("program", segment_id), ""))
+        following = (order[(start + n) % len(order)] for n in range(MAX_RANKED))
+        servers = tuple(name for _, name in following)
+    return max(servers, key=lambda name: hash64("program", segment_id, name))
 
 
 @lru_cache(maxsize=16)
-def _hash_order(servers: tuple[str, ...]) -> list[tuple[int, str]]:
+def _servers_by_hash(servers: tuple[str, ...]) -> list[tuple[int, str]]:
     return sorted((hash64("server", name), name) for name in servers)
