--- a/wisteriastair/core/admission.py
+++ b/wisteriastair/core/admission.py
@@ -109,7 +109,7 @@
 
     def _check_admission(self, start: ProgramStart, now: float) -> Failure | None:
         if start.slot in self._primary.slots_with_lost_log:
-            detail = "the state of this key was lost; a new key runs the request"
+            detail = "this key's earlier state was lost; a new key runs it for certain"
             return Failure(Code.OUTCOME_UNKNOWN, detail, "unknown")
         config = self._programs.config
         failure = _check_plain(start, config)
@@ -119,7 +119,7 @@
             return failure
         if not self._slots.may_append(start.slot):
             return Failure(
-                Code.NO_PRIMARY, "the slot is being moved", "no", SLOT_MOVE_RETRY_S
+                Code.NO_PRIMARY, "the slot is moving", "no", SLOT_MOVE_RETRY_S
             )
         return self._check_overload(start, config, now)
 
@@ -129,7 +129,7 @@
         """Reject programs that would only wait, so that running ones can finish."""
         if self._programs.active >= self._max_active:
             self.refused += 1
-            detail = f"{self._programs.active} programs are running on this process"
+            detail = f"{self._programs.active} programs under way here"
             return Failure(Code.OVERLOADED, detail, "no", self._retry_after_s())
         service = config.services.get(start.service)
         if start.operation or service is None or self._max_wait_s <= 0:
@@ -138,7 +138,7 @@
         if wait_s <= self._max_wait_s:
             return None
         self.refused += 1
-        detail = f"the predicted wait is {wait_s:.1f} s or more"
+        detail = f"every server would keep it waiting {wait_s:.1f} s"
         return Failure(Code.OVERLOADED, detail, "no", wait_s)
 
     def _check_program(self, start: ProgramStart, config: Config) -> Failure | None:
@@ -236,7 +236,7 @@
 
     def _not_found(self, slot: int) -> Failure:
         if slot in self._primary.slots_with_lost_log:
-            detail = "the state of the slot was lost"
+            detail = "the slot's earlier state was lost"
             return Failure(Code.OUTCOME_UNKNOWN, detail, "unknown")
         # The program may also have ended long ago, so "not run" cannot be claimed.
         return Failure(Code.UNKNOWN_PROGRAM, "no such program", "unknown")
--- a/wisteriastair/core/entry.py
+++ b/wisteriastair/core/entry.py
@@ -388,9 +388,9 @@
     def _give_up(self, request: str) -> DeliverToCaller:
         state = self._requests.pop(request)
         if not state.sent:
-            detail = "this slot has no known primary"
+            detail = "no process carries this slot now"
             failure = Failure(Code.NO_PRIMARY, detail, "no", RETRY_AFTER_S)
         else:
-            detail = "no answer from the primary; retry with the same key"
+            detail = "no answer from the carrier; ask again with the same key"
             failure = Failure(Code.TIMED_OUT, detail, "unknown", RETRY_AFTER_S)
         return DeliverToCaller(request, Refused(state.program, failure))
