--- a/tests/relay/test_stopping.py
+++ b/tests/relay/test_stopping.py
@@ -201,7 +201,7 @@
         short = route("unsafe", RequestKind.UNSAFE, timeout_s=1.0)
         services = {"svc": Service("svc", 10, None)}
         relay._handler.table = RouteTable(1, (short,), services, CallerLimits())
-        host, _, port = relay._cfg.callers.rpartition(":")
+        host, _, port = relay._cfg.caller_address.rpartition(":")
 
         async def serve(group: TaskGroup) -> None:
             await relay._serve(group)
--- a/wisteriastair/core/program.py
+++ b/wisteriastair/core/program.py
@@ -264,7 +264,7 @@
             return Wait()
         if now - self.start.started_at >= self.start.limits.wall_s:
             detail = f"not finished within {self.start.limits.wall_s:g} s"
-            return EndStep(Code.WALL_TIME, "", detail)
+            return EndStep(Code.TIME_LIMIT, "", detail)
         if self._failure is not None:
             return self._failure
         if self.call is not None:
@@ -289,21 +289,23 @@
         # Equal fractions for the sub-agents of this turn and the program itself.
         budget = self.remaining_tokens() // (len(spawns) + 1)
         if budget < 1:
-            return EndStep(Code.BUDGET, "", "no budget left for a sub-agent")
+            return EndStep(Code.BUDGET_EXHAUSTED, "", "no budget left for a sub-agent")
         child = f"{self.start.program}.{self._number}-{index}"
         return ChildStep(index, child, action.argument, budget)
 
     def _next_model_call(self) -> Step:
         limits = self.start.limits
         if self.turns >= limits.max_turns:
-            return EndStep(Code.TURNS, "", f"used all {limits.max_turns} model calls")
+            return EndStep(
+                Code.TURN_LIMIT, "", f"used all {limits.max_turns} model calls"
+            )
         bound = self.prompt_token_bound()
         available = self.remaining_tokens() - bound
         if available < 1:
             detail = (
                 f"{self.spent} of {limits.budget} tokens used; next call needs more"
             )
-            return EndStep(Code.BUDGET, "", detail)
+            return EndStep(Code.BUDGET_EXHAUSTED, "", detail)
         max_tokens = min(limits.max_tokens, available)
         return ModelStep(
             self._number, self._attempt, bound, max_tokens, self._partial_text
--- a/wisteriastair/errors.py
+++ b/wisteriastair/errors.py
@@ -29,9 +29,9 @@
     NO_SERVER = "no_server"
     PLATFORM_DOWN = "platform_down"
     OUTCOME_UNKNOWN = "outcome_unknown"
-    BUDGET = "budget_exhausted"
-    TURNS = "turn_limit"
-    WALL_TIME = "time_limit"
+    BUDGET_EXHAUSTED = "budget_exhausted"
+    TURN_LIMIT = "turn_limit"
+    TIME_LIMIT = "time_limit"
     TOOL_FAILED = "tool_failed"
     MODEL_FAILED = "model_failed"
     CANCELLED = "cancelled"
@@ -43,12 +43,12 @@
     SLOW_REQUEST = "slow_request"
     HEADERS_TOO_LARGE = "headers_too_large"
     NOT_CONFIGURED = "not_configured"
-    LEDGER_AWAY = "ledger_away"
+    LEDGER_UNREACHABLE = "ledger_away"
     SERVERS_FULL = "servers_full"
     SERVER_LOST = "server_lost"
     TOO_LATE = "too_late"
     OVER_QUOTA = "over_quota"
-    QUOTA_AWAY = "quota_away"
+    QUOTA_UNREACHABLE = "quota_away"
 
 
 HTTP_STATUS: Final[dict[Code, int]] = {
@@ -75,11 +75,11 @@
     Code.SLOW_REQUEST: 408,
     Code.HEADERS_TOO_LARGE: 431,
     Code.NOT_CONFIGURED: 503,
-    Code.LEDGER_AWAY: 503,
+    Code.LEDGER_UNREACHABLE: 503,
     Code.SERVERS_FULL: 503,
     Code.TOO_LATE: 503,
     Code.OVER_QUOTA: 429,
-    Code.QUOTA_AWAY: 503,
+    Code.QUOTA_UNREACHABLE: 503,
     Code.SERVER_LOST: 502,
 }
 
--- a/wisteriastair/nodemetrics.py
+++ b/wisteriastair/nodemetrics.py
@@ -45,33 +45,33 @@
             ["service", "status", "reason"],
             registry=self.registry,
         )
-        self.took = Histogram(
+        self.request_duration = Histogram(
             "wisteriastair_request_seconds",
             "Seconds from the head of a request to the end of its answer",
             ["service"],
             buckets=LATENCY_BUCKETS,
             registry=self.registry,
         )
-        self.first = Histogram(
+        self.first_event_delay = Histogram(
             "wisteriastair_first_event_seconds",
             "Seconds from the head of a request to its first event",
             ["service"],
             buckets=LATENCY_BUCKETS,
             registry=self.registry,
         )
-        self.ledger = Histogram(
+        self.reserve_duration = Histogram(
             "wisteriastair_reserve_seconds",
             "Seconds for a durable reservation",
             buckets=LEDGER_BUCKETS,
             registry=self.registry,
         )
-        self.customers = Counter(
+        self.customer_requests = Counter(
             "wisteriastair_customer_requests",
             "Requests ended, by customer and what became of them",
             ["customer", "outcome"],
             registry=self.registry,
         )
-        self.permit = Histogram(
+        self.permit_wait = Histogram(
             "wisteriastair_permit_seconds",
             "Seconds for which requests waited for the permit of a quota",
             buckets=LEDGER_BUCKETS,
@@ -98,7 +98,7 @@
             )
         }
 
-    def count_customer(self, customer: str, outcome: str) -> None:
+    def count_customer_request(self, customer: str, outcome: str) -> None:
         """Count what became of a customer's request.
 
         Thousands of customers would make a scrape of megabytes, so those that come
@@ -107,7 +107,7 @@
         if len(self._named) < MAX_CUSTOMERS:
             self._named.add(customer)
         name = customer if customer in self._named else OTHER_CUSTOMERS
-        self.customers.labels(name, outcome).inc()
+        self.customer_requests.labels(name, outcome).inc()
 
 
 class KeeperMetrics:
--- a/wisteriastair/nodeoptions.py
+++ b/wisteriastair/nodeoptions.py
@@ -26,9 +26,9 @@
         Port for the other processes of the system.
     store : str
         ``IP:PORT`` of the platform's store.
-    callers : str
+    caller_address : str
         ``IP:PORT`` on which callers are served; empty on a keeper.
-    ready : str
+    ready_address : str
         ``IP:PORT`` on which the platform asks whether to send callers; empty on a
         keeper.
     data_dir : str
@@ -46,9 +46,9 @@
     seeds : tuple of str
         Addresses for the system's processes of some instances with a disk; they may be
         stale.
-    settle_s : float
+    settle_deadline_s : float
         Seconds within which an ended turn must be settled in the ledger.
-    config_s : float
+    config_deadline_s : float
         Seconds within which a configuration must be in force everywhere.
     contact_s : float
         Seconds after the store's return, or its own, within which a process must know
@@ -62,16 +62,16 @@
     domain: str
     internal_port: int
     store: str
-    callers: str
-    ready: str
+    caller_address: str
+    ready_address: str
     data_dir: str
     memory_bytes: int
     max_failures: int
     first_start: bool
     grace_s: float
     drain_s: float
-    settle_s: float
-    config_s: float
+    settle_deadline_s: float
+    config_deadline_s: float
     contact_s: float
     seeds: tuple[str, ...]
     quota: QuotaBounds = QuotaBounds()
@@ -79,7 +79,7 @@
     @property
     def change_s(self) -> float:
         """Seconds within which any change in the store has to be in force."""
-        return min(self.drain_s, self.config_s)
+        return min(self.drain_s, self.config_deadline_s)
 
     @property
     def internal(self) -> str:
--- a/wisteriastair/nodes.py
+++ b/wisteriastair/nodes.py
@@ -53,7 +53,7 @@
 def _run_relay(cfg: NodeOptions) -> BadNodeSetting | None:
     from .relay.daemon import Relay
 
-    if not cfg.callers or not cfg.ready:
+    if not cfg.caller_address or not cfg.ready_address:
         return BadNodeSetting("listen.front, listen.ready", "missing")
     anyio.run(Relay(cfg).run)
     return None
--- a/wisteriastair/relay/daemon.py
+++ b/wisteriastair/relay/daemon.py
@@ -133,12 +133,12 @@
         listeners = [
             await loop.create_server(
                 lambda: CallerConnection(self._handler, group, self._caller_conns),
-                *_host_and_port(self._cfg.callers),
+                *_host_and_port(self._cfg.caller_address),
                 backlog=LISTEN_BACKLOG,
             ),
             await loop.create_server(
                 lambda: CallerConnection(self._ready, group, ready_conns),
-                *_host_and_port(self._cfg.ready),
+                *_host_and_port(self._cfg.ready_address),
             ),
         ]
         await self._shutdown_requested.wait()
--- a/wisteriastair/relay/handler.py
+++ b/wisteriastair/relay/handler.py
@@ -204,14 +204,14 @@
         metrics = self._metrics
         code = job.failure.code.value if job.failure else ""
         metrics.requests.labels(job.service, job.status, code).inc()
-        metrics.took.labels(job.service).observe(job.elapsed_s())
+        metrics.request_duration.labels(job.service).observe(job.elapsed_s())
         if job.first_event_s:
-            metrics.first.labels(job.service).observe(job.first_event_s)
+            metrics.first_event_delay.labels(job.service).observe(job.first_event_s)
         if job.customer is not None:
-            metrics.count_customer(job.customer.name, code or "answered")
-            metrics.permit.observe(job.quota_check.waited_s)
+            metrics.count_customer_request(job.customer.name, code or "answered")
+            metrics.permit_wait.observe(job.quota_check.waited_s)
         if job.ledger_s:
-            metrics.ledger.observe(job.ledger_s)
+            metrics.reserve_duration.observe(job.ledger_s)
 
     def _reject(
         self, caller_conn: CallerConnection, request_id: str, failure: Failure
--- a/wisteriastair/relay/permission.py
+++ b/wisteriastair/relay/permission.py
@@ -63,7 +63,7 @@
                 return Failure(Code.OVER_QUOTA, detail, "no", retry_after_s)
             case HoldersUnreachable(count, view):
                 detail = f"none of {count} holders of the quota answered in view {view}"
-                return Failure(Code.QUOTA_AWAY, detail, "no", HOLDERS_RETRY_S)
+                return Failure(Code.QUOTA_UNREACHABLE, detail, "no", HOLDERS_RETRY_S)
 
     def cancel(self) -> None:
         """Stop waiting for the permit; a late answer is ignored."""
--- a/wisteriastair/relay/streams.py
+++ b/wisteriastair/relay/streams.py
@@ -135,7 +135,7 @@
             case QuorumUnavailable(answered, required, view):
                 turn.settled = True
                 detail = f"{answered} of {required} replicas answered in view {view}"
-                return Failure(Code.LEDGER_AWAY, detail, "no", RETRY_AFTER_S)
+                return Failure(Code.LEDGER_UNREACHABLE, detail, "no", RETRY_AFTER_S)
 
     async def _settle(self, turn: _TurnState) -> Failure | None:
         """Make a whole turn durable, before its end is sent to the caller."""
@@ -153,7 +153,7 @@
         if not await self._ledger.settle(
             reservation, turn.sent_tokens(), turns, deadline
         ):
-            return Failure(Code.LEDGER_AWAY, "the turn could not be kept", "yes")
+            return Failure(Code.LEDGER_UNREACHABLE, "the turn could not be kept", "yes")
         turn.settled = True
         self._chains.put(reservation.program, job.turn_id, turn.history + content)
         return None
