--- a/tests/callers/test_api.py
+++ b/tests/callers/test_api.py
@@ -1,4 +1,4 @@
-"""The callers' and operators' HTTP interfaces: every bad request has a typed answer."""
+"""The HTTP APIs of callers and operators: every bad request gets a typed error."""
 
 from __future__ import annotations
 
@@ -44,17 +44,17 @@
 
 
 class FakeGateway(Gateway):
-    """Answers by the prompt, without any process behind it."""
+    """Answers according to the prompt, without other processes."""
 
     def __init__(self) -> None:
         self.revision = 7
-        self.held = EMPTY_CONFIG
+        self.current = EMPTY_CONFIG
         added = apply_change(EMPTY_CONFIG, PutService("c1", True, Service("appraisal")))
         assert isinstance(added, Config)
-        self.held = added
+        self.current = added
 
     @asynccontextmanager
-    async def open(
+    async def open_request(
         self, spec: RequestSpec
     ) -> AsyncIterator[AsyncIterator[CallerEvent]]:
         yield self._events(spec)
@@ -82,17 +82,17 @@
         return ProgramRows((row,), 0)
 
     async def change(
-        self, change_id: str, make: Callable[[Config], Change], expected: int
+        self, change_id: str, build_change: Callable[[Config], Change], expected: int
     ) -> int | Failure:
         if expected and expected != self.revision:
             return Failure(Code.CONFLICT, f"at revision {self.revision}")
-        changed = apply_change(self.held, make(self.held))
+        changed = apply_change(self.current, build_change(self.current))
         if isinstance(changed, Failure):
             return changed
         return self.revision + 1
 
     def config(self) -> tuple[int, Config]:
-        return self.revision, self.held
+        return self.revision, self.current
 
     def instances(self) -> tuple[Instance, ...]:
         return ()
@@ -101,7 +101,7 @@
         return [SlotRow(0, "a#1", "b#1", 3)]
 
 
-def application() -> Starlette:
+def make_app() -> Starlette:
     gateway = FakeGateway()
     callers = CallerApi(gateway, {"citizens": "secret"}, MAX_BODY)
     operators = OperatorApi(gateway, {"olgii": "operator-secret"})
@@ -109,18 +109,20 @@
 
 
 async def send(request: dict[str, Any]) -> str:
-    transport = httpx.ASGITransport(application())
-    async with httpx.AsyncClient(transport=transport, base_url="http://entry") as http:
-        answer = await http.request(
+    transport = httpx.ASGITransport(make_app())
+    async with httpx.AsyncClient(
+        transport=transport, base_url="http://entry"
+    ) as client:
+        response = await client.request(
             request["method"],
             request["path"],
             headers=request["headers"],
             content=request["body"].encode(),
         )
-    head = f"{answer.status_code}"
-    if "retry-after" in answer.headers:
-        head += f" retry-after: {answer.headers['retry-after']}"
-    return f"{head}\n{answer.text.strip()}"
+    head = f"{response.status_code}"
+    if "retry-after" in response.headers:
+        head += f" retry-after: {response.headers['retry-after']}"
+    return f"{head}\n{response.text.strip()}"
 
 
 def run_case(given: str) -> str:
--- a/wisteriastair/__init__.py
+++ b/wisteriastair/__init__.py
@@ -1,1 +1,1 @@
-"""A scheduler for agent programs that keeps its promises under failure."""
+"""A fault-tolerant scheduler for agent programs."""
--- a/wisteriastair/__main__.py
+++ b/wisteriastair/__main__.py
@@ -1,15 +1,15 @@
 """Run the command line with ``python -m wisteriastair``.
 
-The two commands of the users' platform start without the command line's libraries
-when no flag is given: that saves a third of their start and of their memory.
+Without flags, ``relay`` and ``keeper`` start without the libraries of the command line.
+This saves a third of their startup time and memory.
 """
 
 import signal
 import sys
 
-# A reload may be asked for as soon as the process runs, and the default is to end it:
-# a replica would be missing until the platform has started it again.  Nothing is lost
-# by ignoring the signal until its handler is there, since settings are read after this.
+# SIGHUP (reload) may arrive as soon as the process runs.  Its default action ends the
+# process, and a replica would be missing until the platform has restarted it.  Ignoring
+# the signal until its handler is installed loses nothing: settings are read later.
 if sys.argv[1:2] in (["relay"], ["keeper"]):
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
--- a/wisteriastair/callers/api.py
+++ b/wisteriastair/callers/api.py
@@ -1,17 +1,17 @@
 """The callers' HTTP interface.
 
 ``POST /v1/programs``
-    Start a program, or join the one that the same idempotency key started.
+    Start a program, or join the program that the same idempotency key started.
 ``GET /v1/programs/{program}``
-    Attach to a program, through any entry, from a position on.
+    Attach to a program from a given position, through any entry.
 ``DELETE /v1/programs/{program}``
     Cancel a program.
 ``POST /v1/call/{provider}/{operation}``
     Call a plain service.
 
-Answers are whole JSON bodies, or server-sent events for callers that accept them.  An
-event's id is the position after it; a caller who reconnects sends it back as
-``Last-Event-ID`` and misses and repeats nothing.
+Responses are complete JSON bodies, or server-sent events for callers that accept them.
+The id of an event is the position after it.  A caller that reconnects sends it as
+``Last-Event-ID`` and gets every later event exactly once.
 """
 
 from __future__ import annotations
@@ -33,15 +33,15 @@
 from .gateway import Gateway
 
 EVENT_STREAM: Final = "text/event-stream"
-POSITION: Final = re.compile(r"^(\d{1,6})\.(\d{1,9})$")
-PROGRAM: Final = re.compile(r"^[0-9a-f]{32}(\.[0-9.\-]{1,64})?$")
-MAX_KEY: Final = 256
-ReadAsk = Callable[[Request, str, bytes], RequestSpec | Failure]
-NAME: Final = re.compile(r"^[A-Za-z0-9_\-]{1,64}$")
+POSITION_PATTERN: Final = re.compile(r"^(\d{1,6})\.(\d{1,9})$")
+PROGRAM_PATTERN: Final = re.compile(r"^[0-9a-f]{32}(\.[0-9.\-]{1,64})?$")
+MAX_KEY_CHARS: Final = 256
+ParseRequest = Callable[[Request, str, bytes], RequestSpec | Failure]
+NAME_PATTERN: Final = re.compile(r"^[A-Za-z0-9_\-]{1,64}$")
 
 
 class StartBody(msgspec.Struct, forbid_unknown_fields=True):
-    """Body of a start."""
+    """Body of a request that starts a program."""
 
     service: str
     prompt: str
@@ -54,11 +54,11 @@
     Parameters
     ----------
     gateway : Gateway
-        The entry behind it.
+        The entry that executes the requests.
     tokens : dict of str to str
         Token of each customer.
     max_body : int
-        Bytes of the largest body.
+        Maximum size of a request body in bytes.
     """
 
     def __init__(self, gateway: Gateway, tokens: dict[str, str], max_body: int) -> None:
@@ -75,95 +75,103 @@
             Route("/v1/call/{provider}/{operation}", self.call, methods=["POST"]),
         ]
 
-    async def start(self, http: Request) -> Response:
+    async def start(self, req: Request) -> Response:
         """Start a program."""
-        return await self._post(http, _start_ask)
+        return await self._handle_post(req, _parse_start)
 
-    async def call(self, http: Request) -> Response:
+    async def call(self, req: Request) -> Response:
         """Call a plain service."""
-        return await self._post(http, _call_ask)
+        return await self._handle_post(req, _parse_call)
 
-    async def _post(self, http: Request, read: ReadAsk) -> Response:
-        customer = owner_of_token(http, self._tokens)
+    async def _handle_post(self, req: Request, parse: ParseRequest) -> Response:
+        customer = owner_of_token(req, self._tokens)
         if not customer:
-            return _refusal(_unauthorized())
-        body = await read_body(http, self._max_body)
+            return _error_response(_unauthorized())
+        body = await read_body(req, self._max_body)
         if isinstance(body, Failure):
-            return _refusal(body)
-        spec = read(http, customer, body)
+            return _error_response(body)
+        spec = parse(req, customer, body)
         if isinstance(spec, Failure):
-            return _refusal(spec)
-        return await self._respond(http, spec)
+            return _error_response(spec)
+        return await self._respond(req, spec)
 
-    async def attach(self, http: Request) -> Response:
+    async def attach(self, req: Request) -> Response:
         """Attach to a program."""
-        spec = self._existing(http, "attach")
+        spec = self._parse_existing(req, "attach")
         if isinstance(spec, Failure):
-            return _refusal(spec)
-        position = http.headers.get("last-event-id", "")
+            return _error_response(spec)
+        position = req.headers.get("last-event-id", "")
         if position:
-            found = POSITION.match(position)
-            if found is None:
+            match = POSITION_PATTERN.match(position)
+            if match is None:
                 detail = "Last-Event-ID must be CALL.OFFSET"
-                return _refusal(Failure(Code.BAD_REQUEST, detail))
-            number, offset = (int(part) for part in found.groups())
+                return _error_response(Failure(Code.BAD_REQUEST, detail))
+            number, offset = (int(part) for part in match.groups())
             spec = spec._replace(number=number, offset=offset)
-        return await self._respond(http, spec)
+        return await self._respond(req, spec)
 
-    async def cancel(self, http: Request) -> Response:
+    async def cancel(self, req: Request) -> Response:
         """Cancel a program."""
-        spec = self._existing(http, "cancel")
+        spec = self._parse_existing(req, "cancel")
         if isinstance(spec, Failure):
-            return _refusal(spec)
-        return await self._respond(http, spec)
+            return _error_response(spec)
+        return await self._respond(req, spec)
 
-    def _existing(self, http: Request, kind: str) -> RequestSpec | Failure:
-        customer = owner_of_token(http, self._tokens)
+    def _parse_existing(self, req: Request, kind: str) -> RequestSpec | Failure:
+        customer = owner_of_token(req, self._tokens)
         if not customer:
             return _unauthorized()
-        program = http.path_params["program"]
-        if not PROGRAM.match(program):
+        program = req.path_params["program"]
+        if not PROGRAM_PATTERN.match(program):
             return Failure(Code.UNKNOWN_PROGRAM, "no such program")
-        stream = kind == "attach" and _wants_events(http)
+        stream = kind == "attach" and _accepts_event_stream(req)
         return RequestSpec(kind, customer, program=program, stream=stream)
 
-    async def _respond(self, http: Request, spec: RequestSpec) -> Response:
+    async def _respond(self, req: Request, spec: RequestSpec) -> Response:
         if spec.stream:
-            return StreamingResponse(self._events(http, spec), media_type=EVENT_STREAM)
-        if http.query_params.get("wait") == "0":
-            return await self._first(spec)
-        return await self._last(spec)
-
-    async def _first(self, spec: RequestSpec) -> Response:
-        """Answer as soon as the program is accepted."""
-        async with self._gateway.open(spec) as events:
+            return StreamingResponse(
+                self._stream_events(req, spec), media_type=EVENT_STREAM
+            )
+        if req.query_params.get("wait") == "0":
+            return await self._respond_on_accept(spec)
+        return await self._respond_on_end(spec)
+
+    async def _respond_on_accept(self, spec: RequestSpec) -> Response:
+        """Respond as soon as the program is accepted."""
+        async with self._gateway.open_request(spec) as events:
             async for event in events:
                 if isinstance(event, Accepted):
                     body = {"program": event.program, "status": "running"}
                     return JSONResponse(body, status_code=202)
-                return _final(event)
-        return _refusal(Failure(Code.STOPPING, "the entry stops", "unknown", 1.0))
-
-    async def _last(self, spec: RequestSpec) -> Response:
-        """Answer when the program has ended."""
-        async with self._gateway.open(spec) as events:
+                return _final_response(event)
+        return _error_response(
+            Failure(Code.STOPPING, "the entry stops", "unknown", 1.0)
+        )
+
+    async def _respond_on_end(self, spec: RequestSpec) -> Response:
+        """Respond when the program has ended."""
+        async with self._gateway.open_request(spec) as events:
             async for event in events:
                 if isinstance(event, Done | Refused):
-                    return _final(event)
-        return _refusal(Failure(Code.STOPPING, "the entry stops", "unknown", 1.0))
-
-    async def _events(self, http: Request, spec: RequestSpec) -> AsyncIterator[str]:
-        async with self._gateway.open(spec) as events:
+                    return _final_response(event)
+        return _error_response(
+            Failure(Code.STOPPING, "the entry stops", "unknown", 1.0)
+        )
+
+    async def _stream_events(
+        self, req: Request, spec: RequestSpec
+    ) -> AsyncIterator[str]:
+        async with self._gateway.open_request(spec) as events:
             async for event in events:
-                yield _as_event(event)
+                yield _format_event(event)
 
 
-async def read_body(http: Request, limit: int) -> bytes | Failure:
-    """Read a body of bounded size."""
+async def read_body(req: Request, limit: int) -> bytes | Failure:
+    """Read a request body of limited size."""
     chunks = []
     size = 0
     try:
-        async for chunk in http.stream():
+        async for chunk in req.stream():
             size += len(chunk)
             if size > limit:
                 return Failure(Code.TOO_LARGE, f"the body is over {limit} bytes")
@@ -177,21 +185,21 @@
     return Failure(Code.UNAUTHORIZED, "no bearer token of a known customer")
 
 
-def _wants_events(http: Request) -> bool:
-    return EVENT_STREAM in http.headers.get("accept", "")
+def _accepts_event_stream(req: Request) -> bool:
+    return EVENT_STREAM in req.headers.get("accept", "")
 
 
-def _key_of(http: Request) -> str | Failure:
-    key = http.headers.get("idempotency-key", "")
+def _parse_key(req: Request) -> str | Failure:
+    key = req.headers.get("idempotency-key", "")
     if not key:
         return Failure(Code.BAD_REQUEST, "the Idempotency-Key header is missing")
-    if len(key) > MAX_KEY:
-        return Failure(Code.BAD_REQUEST, f"the key is over {MAX_KEY} characters")
+    if len(key) > MAX_KEY_CHARS:
+        return Failure(Code.BAD_REQUEST, f"the key is over {MAX_KEY_CHARS} characters")
     return key
 
 
-def _start_ask(http: Request, customer: str, body: bytes) -> RequestSpec | Failure:
-    key = _key_of(http)
+def _parse_start(req: Request, customer: str, body: bytes) -> RequestSpec | Failure:
+    key = _parse_key(req)
     if isinstance(key, Failure):
         return key
     try:
@@ -211,19 +219,19 @@
         service=start.service,
         prompt=start.prompt,
         budget=start.budget or 0,
-        stream=_wants_events(http),
+        stream=_accepts_event_stream(req),
     )
 
 
-def _call_ask(http: Request, customer: str, body: bytes) -> RequestSpec | Failure:
-    key = _key_of(http)
+def _parse_call(req: Request, customer: str, body: bytes) -> RequestSpec | Failure:
+    key = _parse_key(req)
     if isinstance(key, Failure):
         return key
-    repeatable = http.headers.get("x-repeatable", "false").lower()
+    repeatable = req.headers.get("x-repeatable", "false").lower()
     if repeatable not in ("true", "false"):
         return Failure(Code.BAD_REQUEST, "X-Repeatable must be true or false")
-    names = (http.path_params["provider"], http.path_params["operation"])
-    if not all(NAME.match(name) for name in names):
+    names = (req.path_params["provider"], req.path_params["operation"])
+    if not all(NAME_PATTERN.match(name) for name in names):
         return Failure(Code.BAD_REQUEST, "provider and operation must be plain names")
     try:
         text = body.decode()
@@ -240,7 +248,7 @@
     )
 
 
-def _refusal(failure: Failure) -> Response:
+def _error_response(failure: Failure) -> Response:
     headers = {}
     if failure.retry_after_s > 0:
         # Rounded up: a caller that comes back early would only be refused again.
@@ -266,35 +274,35 @@
     }
 
 
-def _final(event: CallerEvent) -> Response:
+def _final_response(event: CallerEvent) -> Response:
     if isinstance(event, Done):
         if event.outcome.status == "done":
             return JSONResponse(_outcome_body(event.outcome))
-        return _refusal(_failure_of(event.outcome))
-    assert isinstance(event, Refused), "a request ends in one of two ways"
-    return _refusal(event.failure)
+        return _error_response(_failure_of(event.outcome))
+    assert isinstance(event, Refused), "a request ends with Done or Refused"
+    return _error_response(event.failure)
 
 
-def _as_event(event: CallerEvent) -> str:
+def _format_event(event: CallerEvent) -> str:
     """Format an event of a request as a server-sent event."""
     match event:
         case OutputText(number, offset, text):
             position = f"{number}.{offset + len(text)}"
             data: Any = {"call": number, "offset": offset, "text": text}
-            return _sse("text", data, position)
+            return _format_sse("text", data, position)
         case Accepted(program):
-            return _sse("accepted", {"program": program}, "")
+            return _format_sse("accepted", {"program": program}, "")
         case Done(outcome) if outcome.status == "done":
-            return _sse("end", _outcome_body(outcome), "")
+            return _format_sse("end", _outcome_body(outcome), "")
         case Done(outcome):
-            return _sse("error", error_body(_failure_of(outcome)), "")
+            return _format_sse("error", error_body(_failure_of(outcome)), "")
         case Refused(_, failure):
-            return _sse("error", error_body(failure), "")
+            return _format_sse("error", error_body(failure), "")
         case _:
             return ""
 
 
-def _sse(name: str, data: Any, position: str) -> str:
+def _format_sse(name: str, data: Any, position: str) -> str:
     head = f"id: {position}\n" if position else ""
     text = msgspec.json.encode(data).decode()
     return f"{head}event: {name}\ndata: {text}\n\n"
--- a/wisteriastair/callers/auth.py
+++ b/wisteriastair/callers/auth.py
@@ -7,19 +7,21 @@
 
 from starlette.requests import Request
 
-SCHEME: Final = "bearer "
+SCHEME_PREFIX: Final = "bearer "
 
 
-def owner_of_token(http: Request, tokens: dict[str, str]) -> str:
-    """Whose token a request carries; empty if nobody's.
+def owner_of_token(req: Request, tokens: dict[str, str]) -> str:
+    """Return the owner of the bearer token of a request; empty if unknown.
 
-    Every token is compared, each in constant time, so the time taken tells nothing
-    about how much of a guess was right.
+    Every token is compared in constant time, so the duration does not reveal how much
+    of a guess is right.
     """
-    header = http.headers.get("authorization", "")
-    given = header[len(SCHEME) :] if header.lower().startswith(SCHEME) else ""
-    found = ""
+    header = req.headers.get("authorization", "")
+    given_token = (
+        header[len(SCHEME_PREFIX) :] if header.lower().startswith(SCHEME_PREFIX) else ""
+    )
+    matching_owner = ""
     for owner, token in tokens.items():
-        if hmac.compare_digest(token.encode(), given.encode()):
-            found = owner
-    return found
+        if hmac.compare_digest(token.encode(), given_token.encode()):
+            matching_owner = owner
+    return matching_owner
--- a/wisteriastair/callers/gateway.py
+++ b/wisteriastair/callers/gateway.py
@@ -1,4 +1,4 @@
-"""What the HTTP interfaces need of the entry behind them."""
+"""The interface of an entry for the HTTP APIs of callers and operators."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
 
 
 class Gateway(ABC):
-    """The entry, as its HTTP interfaces see it."""
+    """Operations of an entry that its HTTP APIs use."""
 
     @abstractmethod
-    def open(
+    def open_request(
         self, spec: RequestSpec
     ) -> AbstractAsyncContextManager[AsyncIterator[CallerEvent]]:
-        """Take a request; its events end with `Done` or `Refused`."""
+        """Submit a request; its events end with `Done` or `Refused`."""
 
     @abstractmethod
     async def list_programs(self, customer: str, limit: int) -> ProgramRows:
-        """List programs of all carriers."""
+        """List the programs of all primaries."""
 
     @abstractmethod
     async def change(
-        self, change_id: str, make: Callable[[Config], Change], expected: int
+        self, change_id: str, build_change: Callable[[Config], Change], expected: int
     ) -> int | Failure:
-        """Make a change of configuration; return its confirmed revision.
+        """Apply a change of the configuration and return its confirmed revision.
 
-        ``make`` builds the change for the configuration it is applied to;
-        ``expected`` is the revision the operator has seen, or 0 for any.
+        ``build_change`` builds the change for the configuration to which it is applied;
+        ``expected`` is the revision that the operator has seen, or 0 for any.
         """
 
     @abstractmethod
     def config(self) -> tuple[int, Config]:
-        """Return the configuration in force here, with its revision."""
+        """Return the configuration in force in this process, with its revision."""
 
     @abstractmethod
     def instances(self) -> tuple[Instance, ...]:
@@ -46,4 +46,4 @@
 
     @abstractmethod
     def rows(self) -> list[SlotRow]:
-        """Return the slot table as known here."""
+        """Return the slot table that this process has."""
--- a/wisteriastair/clocks.py
+++ b/wisteriastair/clocks.py
@@ -1,4 +1,4 @@
-"""Clocks that the standard library does not name."""
+"""Clocks for which the `time` module has no function."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def boot_clock() -> float:
-    """Seconds of the clock that also runs while the machine is suspended."""
+    """Return the seconds since boot, including the time in suspend."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/wisteriastair/daemons/entry.py
+++ b/wisteriastair/daemons/entry.py
@@ -1,4 +1,4 @@
-"""The entry's shell: HTTP towards callers and operators, the core behind it."""
+"""The shell of an entry: HTTP for callers and operators, and effects of the core."""
 
 from __future__ import annotations
 
@@ -57,10 +57,10 @@
 from ..platform.kv import make_key_value_store
 from ..tracing import make_tracer, start_span, traceparent_of
 from .platform_link import PlatformLink
-from .side import new_member
+from .side import make_member_id
 from .web import serve_http
 
-TICK_S: Final = 0.1
+TICK_INTERVAL_S: Final = 0.1
 
 log = logging.getLogger(__name__)
 
@@ -70,7 +70,7 @@
 
     def __init__(self, cfg: EntryOptions) -> None:
         common = cfg.common
-        self.member = new_member(common.listen)
+        self.member = make_member_id(common.listen)
         self.core = EntryCore(
             CoreOptions(
                 self.member,
@@ -106,7 +106,7 @@
             group.start_soon(self._watch_signals)
             log.info("entry started", extra={"member": self.member})
             await serve_http(
-                self._app(),
+                self._make_app(),
                 self._cfg.common.http,
                 self._stop,
                 tls_cert=self._cfg.tls_cert,
@@ -115,61 +115,63 @@
             group.cancel_scope.cancel()
         log.info("entry stopped", extra={"member": self.member})
 
-    def _app(self) -> Starlette:
+    def _make_app(self) -> Starlette:
         cfg = self._cfg
         callers = CallerApi(self, split_pairs(cfg.caller_tokens), cfg.max_body)
         operators = OperatorApi(self, split_pairs(cfg.operator_tokens))
-        own = [
+        daemon_routes = [
             Route("/healthz", self._health),
             entry_metrics_route(self.core, self.transport.counts),
         ]
-        return Starlette(routes=[*callers.routes(), *operators.routes(), *own])
+        return Starlette(
+            routes=[*callers.routes(), *operators.routes(), *daemon_routes]
+        )
 
-    async def _health(self, http: Request) -> Response:
+    async def _health(self, req: Request) -> Response:
         core = self.core
-        placed = len(core.placement.rows) == self._cfg.common.slots
+        is_placed = len(core.placement.rows) == self._cfg.common.slots
         return JSONResponse(
             {
                 "member": self.member,
-                "ready": placed and core.revision > 0,
-                "placed": placed,
+                "ready": is_placed and core.revision > 0,
+                "placed": is_placed,
                 "revisions": core.docs.revisions(),
                 "waiting": core.waiting,
             }
         )
 
-    # Core
+    # Events and effects of the core
 
     def _on_message(self, sender: str, message: Message) -> None:
-        self._do(self.core.receive(sender, message, time.time()))
+        self._execute(self.core.receive(sender, message, time.time()))
 
     def _on_event(self, event: Event) -> None:
         match event:
             case InstancesSeen(instances):
-                self._do(self.core.set_instances(instances))
+                self._execute(self.core.set_instances(instances))
             case KvValue() | KvWritten():
-                self._do(self.core.on_kv(event))
+                self._execute(self.core.on_kv(event))
             case _:
                 pass
 
-    def _do(self, effects: Sequence[Effect | DeliverToCaller]) -> None:
+    def _execute(self, effects: Sequence[Effect | DeliverToCaller]) -> None:
         for effect in effects:
             match effect:
                 case Send(to, message):
                     self.transport.send(to, message)
-                case DeliverToCaller(request, event):
-                    stream = self._streams.get(request)
+                case DeliverToCaller(request_id, event):
+                    stream = self._streams.get(request_id)
                     if stream is not None:
                         stream.send_nowait(event)
                 case KvRead() | KvSwap() | KvWatch():
-                    self._platform.do(effect, self._group)
+                    self._platform.execute(effect, self._group)
                 case _:
                     pass
 
     async def _tick(self) -> None:
         while True:
-            self._do(self.core.tick(time.time()))
-            await anyio.sleep(TICK_S)
+            self._execute(self.core.tick(time.time()))
+            await anyio.sleep(TICK_INTERVAL_S)
 
     async def _watch_signals(self) -> None:
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
@@ -180,54 +182,56 @@
     # Gateway
 
     @asynccontextmanager
-    async def open(
+    async def open_request(
         self, spec: RequestSpec
     ) -> AsyncIterator[AsyncIterator[CallerEvent]]:
-        """Take a request and yield its events."""
-        request = uuid.uuid4().hex
-        span = start_span(self._tracer, f"entry {spec.kind}", "", request=request)
-        # The stream is bounded by the output of one program, which its budget limits.
+        """Submit a request and yield its events."""
+        request_id = uuid.uuid4().hex
+        span = start_span(self._tracer, f"entry {spec.kind}", "", request=request_id)
+        # The stream buffers at most the output of one program, which its budget limits.
         send, receive = anyio.create_memory_object_stream[CallerEvent](math.inf)
-        self._streams[request] = send
+        self._streams[request_id] = send
         try:
             traced = spec._replace(trace=traceparent_of(span))
-            self._do(self.core.submit(request, traced, time.time()))
-            yield _until_last(receive)
+            self._execute(self.core.submit(request_id, traced, time.time()))
+            yield _until_final_event(receive)
         finally:
-            self.core.drop_request(request)
-            del self._streams[request]
+            self.core.drop_request(request_id)
+            del self._streams[request_id]
             send.close()
             receive.close()
             span.end()
 
     async def list_programs(self, customer: str, limit: int) -> ProgramRows:
-        """List programs of all carriers."""
-        request = uuid.uuid4().hex
+        """List the programs of all primaries."""
+        request_id = uuid.uuid4().hex
         send, receive = anyio.create_memory_object_stream[CallerEvent](1)
-        self._streams[request] = send
+        self._streams[request_id] = send
         try:
-            self._do(self.core.list_programs(request, customer, limit, time.time()))
+            self._execute(
+                self.core.list_programs(request_id, customer, limit, time.time())
+            )
             event = await receive.receive()
         finally:
-            del self._streams[request]
+            del self._streams[request_id]
             send.close()
             receive.close()
         assert isinstance(event, ProgramRows), "a listing ends with its rows"
         return event
 
     async def change(
-        self, change_id: str, make: Callable[[Config], Change], expected: int
+        self, change_id: str, build_change: Callable[[Config], Change], expected: int
     ) -> int | Failure:
-        """Make a change of configuration."""
-        outcome = await make_change(self._key_value, change_id, make, expected)
+        """Apply a change of the configuration."""
+        outcome = await make_change(self._key_value, change_id, build_change, expected)
         if isinstance(outcome, Failure):
             return outcome
         event = KvWritten(CONFIG_KEY, outcome.revision, outcome.value)
-        self._do(self.core.on_kv(event))
+        self._execute(self.core.on_kv(event))
         return outcome.revision
 
     def config(self) -> tuple[int, Config]:
-        """Return the configuration in force here."""
+        """Return the configuration in force in this process, with its revision."""
         return self.core.revision, self.core.config
 
     def instances(self) -> tuple[Instance, ...]:
@@ -239,7 +243,7 @@
         return list(self.core.placement.rows.values())
 
 
-async def _until_last(
+async def _until_final_event(
     events: AsyncIterator[CallerEvent],
 ) -> AsyncIterator[CallerEvent]:
     async for event in events:
--- a/wisteriastair/daemons/side.py
+++ b/wisteriastair/daemons/side.py
@@ -1,4 +1,4 @@
-"""The side process's shell: one loop that feeds the core and does what it says."""
+"""The shell of a side process: passes events to the core and executes its effects."""
 
 from __future__ import annotations
 
@@ -47,15 +47,15 @@
 from .platform_link import PlatformLink
 from .web import serve_http
 
-TICK_S: Final = 0.1
-HELD_EVERY_S: Final = 5.0
+TICK_INTERVAL_S: Final = 0.1
+CACHE_REPORT_INTERVAL_S: Final = 5.0
 INCARNATION_BYTES: Final = 6
 
 log = logging.getLogger(__name__)
 
 
-def new_member(address: str) -> str:
-    """Member id of this start of the process at an address."""
+def make_member_id(address: str) -> str:
+    """Return a member id for this start of the process at an address."""
     return f"{address}#{os.urandom(INCARNATION_BYTES).hex()}"
 
 
@@ -64,7 +64,7 @@
 
     def __init__(self, cfg: SideOptions) -> None:
         common = cfg.common
-        self.member = new_member(common.listen)
+        self.member = make_member_id(common.listen)
         models = split_pairs(cfg.models)
         plain = split_pairs(cfg.plain)
         self.core = SideCore(
@@ -110,10 +110,10 @@
             group.start_soon(self._platform.run, self._cfg.common.segments)
             group.start_soon(self._tick)
             group.start_soon(self._watch_signals)
-            group.start_soon(self._reconcile)
+            group.start_soon(self._report_caches)
             log.info("side process started", extra={"member": self.member})
-            # The server ends by itself once the stop is set.  Cancelling it in its own
-            # shutdown makes it raise, and a planned stop would look like a crash.
+            # The server returns once `_stop` is set.  Cancelling it during its shutdown
+            # makes it raise, and a planned stop would look like a crash.
             counts = self.transport.counts
             app = make_side_app(self.member, self.core, counts, lambda: self.busy_s)
             await serve_http(app, self._cfg.common.http, self._stop)
@@ -121,12 +121,12 @@
         log.info("side process stopped", extra={"member": self.member})
 
     def deliver(self, event: Event) -> None:
-        """Feed one event to the core and carry out the effects."""
-        began = time.perf_counter()
+        """Pass one event to the core and execute the effects."""
+        started_at = time.perf_counter()
         effects = self.core.step(event, time.time())
         for effect in effects:
-            self._do(effect)
-        self.busy_s += time.perf_counter() - began
+            self._execute(effect)
+        self.busy_s += time.perf_counter() - started_at
 
     def _on_message(self, sender: str, message: Message) -> None:
         if isinstance(message, ProgramStart):
@@ -140,12 +140,12 @@
         span.end()
         return message._replace(trace=traceparent_of(span))
 
-    def _do(self, effect: Effect) -> None:
+    def _execute(self, effect: Effect) -> None:
         match effect:
             case Send(to, message):
                 self.transport.send(to, message)
             case KvRead() | KvSwap() | KvWatch():
-                self._platform.do(effect, self._group)
+                self._platform.execute(effect, self._group)
             case BackendCall(call):
                 self._group.start_soon(self._call_backend, call)
             case BackendCancel(call_id, server):
@@ -156,9 +156,9 @@
                 if server in self._engines:
                     self._group.start_soon(self._release, server, programs)
             case LogMessage(level, text, program):
-                number = logging.getLevelName(level.upper())
+                level_number = logging.getLevelName(level.upper())
                 extra = {"member": self.member, "program": program}
-                log.log(number, text, extra=extra)
+                log.log(level_number, text, extra=extra)
             case Drained():
                 self._stop.set()
 
@@ -188,16 +188,16 @@
     async def _tick(self) -> None:
         while True:
             self.deliver(Tick())
-            await anyio.sleep(TICK_S)
+            await anyio.sleep(TICK_INTERVAL_S)
 
-    async def _reconcile(self) -> None:
-        """Compare what the engines hold with what the gates know."""
+    async def _report_caches(self) -> None:
+        """Report to the core periodically which programs the engines have cached."""
         while True:
-            await anyio.sleep(HELD_EVERY_S)
+            await anyio.sleep(CACHE_REPORT_INTERVAL_S)
             for server, engine in self._engines.items():
-                held = await engine.held()
-                if held is not None:
-                    self.deliver(BackendCacheReport(server, held))
+                cached = await engine.cached_programs()
+                if cached is not None:
+                    self.deliver(BackendCacheReport(server, cached))
 
     async def _watch_signals(self) -> None:
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
@@ -211,5 +211,5 @@
 
     @property
     def address(self) -> str:
-        """Address on which other processes reach this one."""
+        """Address at which other processes reach this one."""
         return address_of(self.member)
--- a/wisteriastair/daemons/web.py
+++ b/wisteriastair/daemons/web.py
@@ -1,4 +1,4 @@
-"""Serving HTTP by hypercorn on the daemon's own loop."""
+"""HTTP server of the daemons: hypercorn on the event loop of the daemon."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     tls_cert: str = "",
     tls_key: str = "",
 ) -> None:
-    """Serve until ``stop`` is set; requests in progress are then finished."""
+    """Serve until ``stop`` is set, then finish the requests in progress."""
     cfg = HypercornConfig()
     cfg.bind = [address]
     cfg.graceful_timeout = 30.0
@@ -30,7 +30,7 @@
         cfg.certfile = tls_cert
         cfg.keyfile = tls_key
     application: Any = app
-    # A task of its own: at its end the server leaves a cancellation pending in the task
-    # that it runs in, which would make a planned stop of the daemon look like a crash.
+    # The server gets its own task, since it leaves a cancellation pending in its task
+    # when it ends.  In the daemon's task, a planned stop would look like a crash.
     async with anyio.create_task_group() as group:
         group.start_soon(partial(serve, application, cfg, shutdown_trigger=stop.wait))
--- a/wisteriastair/engines/client.py
+++ b/wisteriastair/engines/client.py
@@ -1,8 +1,8 @@
 """Calls to a model engine: OpenAI-style streaming completions.
 
-Beyond the common protocol an engine takes a request id, a program id for its cache, a
-priority and a prefix to go on from; it resumes a stream by request id and offset,
-cancels a request, and lists and releases what it holds for programs.
+In addition to the common protocol, an engine accepts a request id, a program id for its
+cache, a priority and an output prefix to continue.  It resumes a stream by request id
+and offset, cancels requests, and lists and releases the cached memory of programs.
 """
 
 from __future__ import annotations
@@ -18,21 +18,21 @@
 from ..core.records import Action
 from ..core.wire import CallId, GateCall
 
-CONNECT_S: Final = 2.0
-STALL_S: Final = 5.0
-RESUMES: Final = 3
-DATA: Final = "data: "
-DONE: Final = "[DONE]"
+CONNECT_TIMEOUT_S: Final = 2.0
+STALL_TIMEOUT_S: Final = 5.0
+MAX_RESUMES: Final = 3
+DATA_PREFIX: Final = "data: "
+END_OF_STREAM: Final = "[DONE]"
 
 EmitText = Callable[[str], None]
 
 
 class Engine(ABC):
-    """What a gate needs of a model engine."""
+    """Interface of a model engine for its gate."""
 
     @abstractmethod
     async def run(self, call: GateCall, emit: EmitText) -> BackendEnded:
-        """Run a model call; output goes to ``emit`` as it comes."""
+        """Run a model call; pass its output to ``emit`` as it arrives."""
 
     @abstractmethod
     async def cancel(self, call: CallId) -> None:
@@ -40,11 +40,11 @@
 
     @abstractmethod
     async def release(self, programs: tuple[str, ...]) -> bool:
-        """Drop what is held for programs; False if the engine did not answer."""
+        """Release the cached memory of programs; return whether this succeeded."""
 
     @abstractmethod
-    async def held(self) -> tuple[str, ...] | None:
-        """Programs for which memory is held; None without an answer."""
+    async def cached_programs(self) -> tuple[str, ...] | None:
+        """Return the programs with cached memory; None if the request failed."""
 
     @abstractmethod
     async def close(self) -> None:
@@ -77,22 +77,22 @@
     usage: _Usage | None = None
 
 
-_CHUNKS: Final = msgspec.json.Decoder(_Chunk)
-_HELD: Final = msgspec.json.Decoder(tuple[str, ...])
+_CHUNK_DECODER: Final = msgspec.json.Decoder(_Chunk)
+_PROGRAMS_DECODER: Final = msgspec.json.Decoder(tuple[str, ...])
 
 
 class _Progress:
-    """What a stream has given so far, over all its connections."""
+    """Output of a stream so far, over all its connections."""
 
     def __init__(self) -> None:
-        self.length = 0
+        self.text_length = 0
         self.actions: tuple[Action, ...] = ()
         self.usage = _Usage()
-        self.finish = ""
+        self.finish_reason = ""
 
 
 def request_id(call: CallId) -> str:
-    """Id by which the engine knows a call."""
+    """Return the id of a call in requests to the engine."""
     return f"{call.program}/{call.number}/{call.attempt}"
 
 
@@ -100,28 +100,28 @@
     """A model engine over HTTP."""
 
     def __init__(self, url: str) -> None:
-        timeout = httpx.Timeout(STALL_S, connect=CONNECT_S)
+        timeout = httpx.Timeout(STALL_TIMEOUT_S, connect=CONNECT_TIMEOUT_S)
         limits = httpx.Limits(max_connections=None, max_keepalive_connections=16)
         self._client = httpx.AsyncClient(base_url=url, timeout=timeout, limits=limits)
 
     async def run(self, call: GateCall, emit: EmitText) -> BackendEnded:
-        """Run a call; resume over a new connection if the stream goes silent."""
+        """Run a call; resume over a new connection if the stream breaks or stalls."""
         progress = _Progress()
         try:
-            await self._stream(self._open(call), progress, emit)
+            await self._stream(self._build_request(call), progress, emit)
         except httpx.ConnectError:
-            return _ended(call.call, "refused", "no", progress)
+            return _make_result(call.call, "refused", "no", progress)
         except httpx.HTTPStatusError as exc:
             if exc.response.status_code == httpx.codes.TOO_MANY_REQUESTS:
-                return _ended(call.call, "refused", "no", progress)
-            return _ended(call.call, "error", "yes", progress)
+                return _make_result(call.call, "refused", "no", progress)
+            return _make_result(call.call, "error", "yes", progress)
         except (httpx.HTTPError, msgspec.DecodeError):
             await self._resume(call.call, progress, emit)
-        status = "ok" if progress.finish else "lost"
-        ran = "yes" if progress.finish else "unknown"
-        return _ended(call.call, status, ran, progress)
+        status = "ok" if progress.finish_reason else "lost"
+        ran = "yes" if progress.finish_reason else "unknown"
+        return _make_result(call.call, status, ran, progress)
 
-    def _open(self, call: GateCall) -> httpx.Request:
+    def _build_request(self, call: GateCall) -> httpx.Request:
         body: dict[str, Any] = msgspec.json.decode(call.body)
         body |= {
             "model": call.name,
@@ -137,16 +137,16 @@
         )
 
     async def _resume(self, call: CallId, progress: _Progress, emit: EmitText) -> None:
-        """Go on with a broken stream.
+        """Resume a broken stream over a new connection.
 
-        The engine still has the request, so looking it up by id over a new connection
-        costs nothing, where repeating it would compute everything again.
+        The engine still has the request, so resuming it by id costs nothing.  Repeating
+        it would compute the whole output again.
         """
-        for _ in range(RESUMES):
+        for _ in range(MAX_RESUMES):
             request = self._client.build_request(
                 "GET",
                 f"/v1/requests/{request_id(call)}/stream",
-                params={"offset": progress.length},
+                params={"offset": progress.text_length},
             )
             try:
                 await self._stream(request, progress, emit)
@@ -154,40 +154,40 @@
                 return
             except (httpx.HTTPError, msgspec.DecodeError):
                 continue
-            if progress.finish:
+            if progress.finish_reason:
                 return
 
     async def _stream(
         self, request: httpx.Request, progress: _Progress, emit: EmitText
     ) -> None:
-        answer = await self._client.send(request, stream=True)
+        response = await self._client.send(request, stream=True)
         try:
-            answer.raise_for_status()
-            async for chunk in _chunks(answer):
-                _take(chunk, progress, emit)
+            response.raise_for_status()
+            async for chunk in _chunks(response):
+                _apply_chunk(chunk, progress, emit)
         finally:
-            await answer.aclose()
+            await response.aclose()
 
     async def cancel(self, call: CallId) -> None:
-        """Cancel a running call; a lost cancel is mended by the hold's expiry."""
+        """Cancel a running call; a lost request is ignored, since the lease expires."""
         try:
             await self._client.post(f"/v1/requests/{request_id(call)}/cancel")
         except httpx.HTTPError:
             return
 
     async def release(self, programs: tuple[str, ...]) -> bool:
-        """Drop what is held for programs."""
+        """Release the cached memory of programs."""
         try:
-            answer = await self._client.post("/v1/cache/release", json=list(programs))
+            response = await self._client.post("/v1/cache/release", json=list(programs))
         except httpx.HTTPError:
             return False
-        return answer.status_code == httpx.codes.OK
+        return response.status_code == httpx.codes.OK
 
-    async def held(self) -> tuple[str, ...] | None:
-        """Programs for which memory is held."""
+    async def cached_programs(self) -> tuple[str, ...] | None:
+        """Return the programs with cached memory."""
         try:
-            answer = await self._client.get("/v1/cache/programs")
-            return _HELD.decode(answer.content)
+            response = await self._client.get("/v1/cache/programs")
+            return _PROGRAMS_DECODER.decode(response.content)
         except (httpx.HTTPError, msgspec.DecodeError):
             return None
 
@@ -196,32 +196,34 @@
         await self._client.aclose()
 
 
-async def _chunks(answer: httpx.Response) -> AsyncIterator[_Chunk]:
-    async for line in answer.aiter_lines():
-        if not line.startswith(DATA):
+async def _chunks(response: httpx.Response) -> AsyncIterator[_Chunk]:
+    async for line in response.aiter_lines():
+        if not line.startswith(DATA_PREFIX):
             continue
-        data = line[len(DATA) :]
-        if data == DONE:
+        data = line[len(DATA_PREFIX) :]
+        if data == END_OF_STREAM:
             return
-        yield _CHUNKS.decode(data)
+        yield _CHUNK_DECODER.decode(data)
 
 
-def _take(chunk: _Chunk, progress: _Progress, emit: EmitText) -> None:
+def _apply_chunk(chunk: _Chunk, progress: _Progress, emit: EmitText) -> None:
     if chunk.usage is not None:
         progress.usage = chunk.usage
     for choice in chunk.choices:
         if choice.delta.content:
-            progress.length += len(choice.delta.content)
+            progress.text_length += len(choice.delta.content)
             emit(choice.delta.content)
         if choice.delta.tool_calls:
             progress.actions = tuple(
                 Action(t.name, t.arguments) for t in choice.delta.tool_calls
             )
         if choice.finish_reason:
-            progress.finish = choice.finish_reason
+            progress.finish_reason = choice.finish_reason
 
 
-def _ended(call: CallId, status: str, ran: str, progress: _Progress) -> BackendEnded:
+def _make_result(
+    call: CallId, status: str, ran: str, progress: _Progress
+) -> BackendEnded:
     usage = progress.usage
     return BackendEnded(
         call,
--- a/wisteriastair/errors.py
+++ b/wisteriastair/errors.py
@@ -1,8 +1,7 @@
-"""Messages to users: typed codes, their HTTP statuses and texts.
+"""Error codes for callers and operators, their HTTP statuses and response bodies.
 
-Outcomes are values.  A function that can fail returns a `Failure` with its reason
-in place of the result; exceptions are left to broken invariants and to the edges,
-where libraries raise them.
+A function that can fail returns a `Failure` in place of its result.  Exceptions are
+used only for broken invariants and where libraries raise them.
 """
 
 from __future__ import annotations
@@ -12,7 +11,7 @@
 
 
 class Code(StrEnum):
-    """Every reason that a caller or an operator can be given."""
+    """Error codes that are reported to callers and operators."""
 
     BAD_REQUEST = "bad_request"
     UNAUTHORIZED = "unauthorized"
@@ -83,23 +82,23 @@
     Code.SERVER_LOST: 502,
 }
 
-# A program that ended short of its answer is a well-formed result of the request.
+# For codes of programs that ended without an answer: the request itself was valid.
 PROGRAM_ENDED_STATUS: Final = 422
 
 
 class Failure(NamedTuple):
-    """The sentinel for a failed operation, with its reason.
+    """The reason of a failed operation, returned in place of its result.
 
     Attributes
     ----------
     code : Code
-        What kind of failure.
+        Kind of failure.
     detail : str
-        One line for a person.
+        Description for people, in one line.
     ran : str
         ``no``, ``yes`` or ``unknown``: whether anything irreversible may have run.
     retry_after_s : float
-        When to come back, in seconds; 0 if it is of no use.
+        Seconds to wait before a retry; 0 if a retry is of no use.
     column : int
         Position of a syntax error, counted from 1; 0 for none.
     """
@@ -112,7 +111,7 @@
 
 
 class ErrorBody(TypedDict):
-    """The body of every error answer."""
+    """Body of every error response."""
 
     code: str
     ran: str
@@ -121,12 +120,12 @@
 
 
 def http_status(code: Code) -> int:
-    """HTTP status for a code."""
+    """Return the HTTP status for a code."""
     return HTTP_STATUS.get(code, PROGRAM_ENDED_STATUS)
 
 
 def error_body(failure: Failure) -> ErrorBody:
-    """Body of the answer that reports a failure."""
+    """Return the response body that reports a failure."""
     return ErrorBody(
         code=failure.code.value,
         ran=failure.ran,
--- a/wisteriastair/logs.py
+++ b/wisteriastair/logs.py
@@ -1,8 +1,8 @@
-"""Structured logs: one JSON object a line.
+"""Structured logs: one JSON object per line.
 
-A daemon must never wait for who reads its logs.  Lines are handed to a file descriptor
-that does not block; what it does not take is dropped and counted, and the next line
-that gets through says how many were lost.
+A daemon must never wait for the reader of its logs.  Lines are written to a
+non-blocking file descriptor.  Lines that it does not accept are dropped and counted,
+and the next line that is written contains the number of dropped lines before it.
 """
 
 from __future__ import annotations
@@ -14,21 +14,22 @@
 
 import msgspec
 
-# Attributes of every log record; whatever else a record has was given as ``extra``.
-STANDARD: Final = frozenset(
+# Attributes of every log record; all others were passed as ``extra``.
+STANDARD_ATTRIBUTES: Final = frozenset(
     vars(logging.LogRecord("", 0, "", 0, "", (), None)).keys()
 ) | {"message", "asctime", "taskName"}
-# Bytes of a pipe that are written at once or not at all, so that lines stay whole.
-PIPE_BYTES: Final = 4096
+# Linux writes up to this many bytes (PIPE_BUF) to a pipe completely or not at all.
+# Longer lines are truncated.
+MAX_LINE_BYTES: Final = 4096
 
 
 class JsonFormatter(logging.Formatter):
-    """Formats a record as JSON with the fields that were given as ``extra``.
+    """Formats a record as JSON, with the fields that were passed as ``extra``.
 
     Parameters
     ----------
     instance : str
-        Name of the instance, for whoever reads lines of several; empty for none.
+        Name of the instance, which each line contains; empty for none.
     """
 
     def __init__(self, instance: str = "") -> None:
@@ -46,35 +47,35 @@
         if self._instance:
             line["instance"] = self._instance
         for name, value in vars(record).items():
-            if name not in STANDARD and value not in ("", None):
+            if name not in STANDARD_ATTRIBUTES and value not in ("", None):
                 line[name] = value
         if record.exc_info:
             line["exception"] = self.formatException(record.exc_info)
         return msgspec.json.encode(line, enc_hook=str).decode()
 
 
-class NeverBlockingHandler(logging.Handler):
-    """Writes lines to a descriptor; drops and counts what it does not take."""
+class NonBlockingHandler(logging.Handler):
+    """Writes lines without blocking; drops and counts lines that are not accepted."""
 
     def __init__(self, fd: int) -> None:
         super().__init__()
-        self.dropped = 0
+        self.dropped_count = 0
         self._fd = fd
-        self._untold = 0
+        self._unreported_drops = 0
         os.set_blocking(fd, False)
 
     def emit(self, record: logging.LogRecord) -> None:
         """Write one line."""
-        if self._untold:
-            record.dropped_before = self._untold
-        data = (self.format(record) + "\n").encode()[:PIPE_BYTES]
+        if self._unreported_drops:
+            record.dropped_before = self._unreported_drops
+        data = (self.format(record) + "\n").encode()[:MAX_LINE_BYTES]
         try:
             os.write(self._fd, data)
         except (BlockingIOError, BrokenPipeError):
-            self.dropped += 1
-            self._untold += 1
+            self.dropped_count += 1
+            self._unreported_drops += 1
             return
-        self._untold = 0
+        self._unreported_drops = 0
 
 
 def set_up_logs(level: str) -> None:
@@ -84,14 +85,14 @@
 
 
 def set_up_daemon_logs(level: str, instance: str = "") -> None:
-    """Send all logs to standard output as JSON lines, without ever blocking."""
-    _install(NeverBlockingHandler(sys.stdout.fileno()), level, instance)
+    """Send all logs to standard output as JSON lines, without blocking."""
+    _install(NonBlockingHandler(sys.stdout.fileno()), level, instance)
 
 
 def dropped_lines() -> int:
-    """Count the lines that were dropped since the start."""
+    """Return the number of lines that were dropped since the start."""
     handlers = logging.getLogger().handlers
-    return sum(h.dropped for h in handlers if isinstance(h, NeverBlockingHandler))
+    return sum(h.dropped_count for h in handlers if isinstance(h, NonBlockingHandler))
 
 
 def _install(handler: logging.Handler, level: str, instance: str = "") -> None:
@@ -99,5 +100,5 @@
     root = logging.getLogger()
     root.handlers = [handler]
     root.setLevel(level.upper())
-    for noisy in ("httpx", "httpcore", "hypercorn.error", "hypercorn.access"):
-        logging.getLogger(noisy).setLevel(logging.WARNING)
+    for library in ("httpx", "httpcore", "hypercorn.error", "hypercorn.access"):
+        logging.getLogger(library).setLevel(logging.WARNING)
--- a/wisteriastair/main.py
+++ b/wisteriastair/main.py
@@ -1,7 +1,7 @@
-"""The command line: one binary with a subcommand for each job.
+"""The command line: one executable with a subcommand per task.
 
 Every flag has an environment variable (``--platform-url`` and
-``WISTERIASTAIR_PLATFORM_URL``); the flag wins.
+``WISTERIASTAIR_PLATFORM_URL``); the flag takes precedence.
 """
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
     log_level: str = "info",
     trace_file: str = "",
 ) -> int:
-    """Run an entry: callers and operators on one side, carriers on the other.
+    """Run an entry, which serves callers and operators over HTTP.
 
     Parameters
     ----------
@@ -73,15 +73,15 @@
     operator_tokens : list[str]
         OPERATOR=TOKEN, one for each operator.
     deployment : str
-        Name of the deployment; the same everywhere.
+        Name of the deployment; the same in every process.
     slots : int
-        Slots of the table; the same everywhere.
+        Number of slots; the same in every process.
     segments : int
-        Keys of the table; the same everywhere.
+        Number of keys of the slot table; the same in every process.
     patience_s : float
-        Seconds of silence after which a request is given up.
+        Seconds without a message from the primary after which a request times out.
     max_body : int
-        Bytes of the largest request body.
+        Maximum size of a request body in bytes.
     tls_cert : str
         Certificate file for TLS.
     tls_key : str
@@ -111,9 +111,9 @@
         tls_cert,
         tls_key,
     )
-    bad = check_entry(cfg)
-    if bad is not None:
-        return _complain(bad)
+    bad_setting = check_entry(cfg)
+    if bad_setting is not None:
+        return _report_bad_setting(bad_setting)
     set_up_logs(log_level)
     anyio.run(_run_entry, cfg)
     return 0
@@ -146,7 +146,7 @@
     log_level: str = "info",
     trace_file: str = "",
 ) -> int:
-    """Run a side process: gate of backend servers, carrier and standby of slots.
+    """Run a side process: gate of backend servers, primary and standby of slots.
 
     Parameters
     ----------
@@ -163,29 +163,29 @@
     plain : list[str]
         NAME=URL of each plain service behind this gate.
     deployment : str
-        Name of the deployment; the same everywhere.
+        Name of the deployment; the same in every process.
     slots : int
-        Slots of the table; the same everywhere.
+        Number of slots; the same in every process.
     segments : int
-        Keys of the table; the same everywhere.
+        Number of keys of the slot table; the same in every process.
     router : str
         cost, round-robin, least-load or affinity.
     order : str
         program or fifo.
     running : int
-        Calls at once in a backend server.
+        Maximum number of concurrent calls of a backend server.
     queued : int
-        Calls that may wait at a gate.
+        Maximum number of calls that wait at a gate.
     kv_tokens : int
-        Tokens at once in a model engine.
+        Maximum number of tokens of concurrent calls of a model engine.
     max_active : int
-        Programs under way at once on this process.
+        Maximum number of running programs on this process.
     max_wait_s : float
-        Predicted wait over which a new program is refused; 0 for none.
+        Predicted wait above which a new program is rejected; 0 for none.
     stop_s : float
-        Seconds after which a planned stop exits all the same; 0 for no limit.
+        Seconds after which a planned stop exits in any case; 0 for no limit.
     prefill_tokens_s : float
-        Prompt tokens a second that one engine computes.
+        Prompt tokens per second that one engine computes.
     log_level : str
         debug, info, warning or error.
     trace_file : str
@@ -216,9 +216,9 @@
         stop_s,
         prefill_tokens_s,
     )
-    bad = check_side(cfg)
-    if bad is not None:
-        return _complain(bad)
+    bad_setting = check_side(cfg)
+    if bad_setting is not None:
+        return _report_bad_setting(bad_setting)
     set_up_logs(log_level)
     anyio.run(_run_side, cfg)
     return 0
@@ -249,9 +249,9 @@
     json : bool
         Print JSON instead of a table.
     change : str
-        Id of the change, to repeat a command whose answer was lost.
+        Id of the change, to repeat a command whose response was lost.
     ca_file : str
-        Certificate of the authority that signed the entry's.
+        Certificate of the CA that signed the certificate of the entry.
     """
     return run_command(
         " ".join(words),
@@ -264,14 +264,14 @@
 
 
 def trace(wanted: str, *files: str) -> int:
-    """Tell the way of a request or a program out of log lines.
+    """Reconstruct the route of a request or a program from log lines.
 
     Parameters
     ----------
     wanted : str
         Id of the request or the program.
     files : str
-        Log files of as many processes as can be had; standard input if there is none.
+        Log files of as many processes as possible; standard input if none is given.
     """
     return run_trace(wanted, files)
 
@@ -282,16 +282,16 @@
     every: float = 2.0,
     json: bool = False,
 ) -> int:
-    """Tell which requests lose worth, when and why, out of log lines.
+    """Report from log lines which requests count as lost, when and why.
 
     Parameters
     ----------
     files : str
-        Log files of as many relays as can be had; standard input if there is none.
+        Log files of as many relays as possible; standard input if none is given.
     aim : str
-        ROUTE=SECONDS in which its answers are to be whole; may be given several times.
+        ROUTE=SECONDS within which an answer must be complete; may be repeated.
     every : float
-        Seconds of a row of the table by time.
+        Seconds per row of the table by time.
     json : bool
         Print JSON instead of tables.
     """
@@ -316,27 +316,31 @@
 }
 
 
-def _complain(bad: BadSetting) -> int:
-    print(f"wisteriastair: {bad}", file=sys.stderr)
+def _report_bad_setting(bad_setting: BadSetting) -> int:
+    print(f"wisteriastair: {bad_setting}", file=sys.stderr)
     return EXIT_BAD_SETTING
 
 
 def with_environment(argv: Sequence[str], environ: dict[str, str]) -> list[str]:
-    """Add a flag for each setting that only the environment gives."""
+    """Add a flag for each setting that is given only in the environment."""
     if not argv or argv[0] not in COMMANDS:
         return list(argv)
-    given = {word.split("=", 1)[0] for word in argv if word.startswith("--")}
+    given_flags = {arg.split("=", 1)[0] for arg in argv if arg.startswith("--")}
     added: list[str] = []
     for name, parameter in inspect.signature(COMMANDS[argv[0]]).parameters.items():
         flag = "--" + name.replace("_", "-")
         value = environ.get(ENV_PREFIX + name.upper())
-        if value is None or flag in given or parameter.kind.name != "KEYWORD_ONLY":
+        if (
+            value is None
+            or flag in given_flags
+            or parameter.kind.name != "KEYWORD_ONLY"
+        ):
             continue
-        added += _as_flag(flag, value, parameter.annotation)
+        added += _make_flag_args(flag, value, parameter.annotation)
     return [argv[0], *added, *argv[1:]]
 
 
-def _as_flag(flag: str, value: str, annotation: Any) -> list[str]:
+def _make_flag_args(flag: str, value: str, annotation: Any) -> list[str]:
     if annotation in (bool, "bool"):
         return [flag] if value.lower() in ("1", "true", "yes") else []
     if "list" in str(annotation):
@@ -345,22 +349,22 @@
 
 
 def with_joined_aims(argv: Sequence[str]) -> list[str]:
-    """Join the aims of `losses` with commas, since the parser keeps a flag's last."""
+    """Join the aims of `losses` with commas: the parser uses only the last of them."""
     if not argv or argv[0] != "losses":
         return list(argv)
     aims: list[str] = []
     rest: list[str] = []
-    words = iter(argv)
-    for word in words:
-        flag, is_joined, value = word.partition("=")
+    remaining = iter(argv)
+    for arg in remaining:
+        flag, has_value, value = arg.partition("=")
         if flag != "--aim":
-            rest.append(word)
+            rest.append(arg)
             continue
-        given = value if is_joined else next(words, None)
-        if given is None:
-            # The parser says what is missing.
+        aim = value if has_value else next(remaining, None)
+        if aim is None:
+            # The parser reports the missing value.
             return list(argv)
-        aims.append(given)
+        aims.append(aim)
     return [rest[0], "--aim=" + ",".join(aims), *rest[1:]] if aims else rest
 
 
--- a/wisteriastair/metrics.py
+++ b/wisteriastair/metrics.py
@@ -1,7 +1,7 @@
-"""Metrics in the Prometheus format, and the health of a daemon.
+"""Metrics in the Prometheus format, and the health check of a daemon.
 
-Values are read from the core when a scrape asks, so nothing is counted twice and the
-core knows nothing of metrics.
+Values are read from the core at each scrape, so nothing is counted twice and the core
+does not depend on metrics.
 """
 
 from __future__ import annotations
@@ -21,34 +21,36 @@
 from .peers.transport import TransportCounters
 
 
-def _gauge(name: str, text: str, value: float) -> Metric:
-    return GaugeMetricFamily(f"wisteriastair_{name}", text, value=value)
+def _gauge(name: str, help_text: str, value: float) -> Metric:
+    return GaugeMetricFamily(f"wisteriastair_{name}", help_text, value=value)
 
 
-def _counter(name: str, text: str, value: float) -> Metric:
-    return CounterMetricFamily(f"wisteriastair_{name}", text, value=value)
+def _counter(name: str, help_text: str, value: float) -> Metric:
+    return CounterMetricFamily(f"wisteriastair_{name}", help_text, value=value)
 
 
-def _transport_metrics(counts: TransportCounters) -> Iterable[Metric]:
-    yield _counter("messages_sent", "Messages to peers", counts.messages_sent)
-    yield _counter("messages_received", "Messages of peers", counts.messages_received)
-    yield _counter("peer_bytes_sent", "Bytes to peers", counts.bytes_sent)
-    yield _counter("peer_redials", "Silent connections replaced", counts.reconnects)
-    yield _counter("frames_foreign", "Frames of others dropped", counts.foreign_frames)
-    yield _counter("messages_dropped", "Messages over the queue", counts.dropped)
+def _transport_metrics(counters: TransportCounters) -> Iterable[Metric]:
+    yield _counter("messages_sent", "Messages to peers", counters.messages_sent)
+    yield _counter("messages_received", "Messages of peers", counters.messages_received)
+    yield _counter("peer_bytes_sent", "Bytes to peers", counters.bytes_sent)
+    yield _counter("peer_redials", "Silent connections replaced", counters.reconnects)
+    yield _counter(
+        "frames_foreign", "Frames of others dropped", counters.foreign_frames
+    )
+    yield _counter("messages_dropped", "Messages over the queue", counters.dropped)
 
 
 class _SideCollector(Collector):
     def __init__(
-        self, core: SideCore, counts: TransportCounters, busy_s: Callable[[], float]
+        self, core: SideCore, counters: TransportCounters, busy_s: Callable[[], float]
     ) -> None:
         self._core = core
-        self._counts = counts
+        self._counters = counters
         self._busy_s = busy_s
 
     def collect(self) -> Iterable[Metric]:
         core = self._core
-        yield from _transport_metrics(self._counts)
+        yield from _transport_metrics(self._counters)
         yield _gauge("slots_held", "Slots carried or copied", core.slots.count())
         yield _gauge("programs_active", "Programs under way", core.programs.active)
         yield _counter("programs_ended", "Programs ended", core.primary.finished_count)
@@ -68,32 +70,32 @@
 
 
 def _gate_metrics(server: str, queued: int, running: int) -> Iterable[Metric]:
-    for what, value in (("queued", queued), ("running", running)):
+    for state, value in (("queued", queued), ("running", running)):
         metric = GaugeMetricFamily(
-            f"wisteriastair_gate_{what}", f"Calls {what}", labels=["server"]
+            f"wisteriastair_gate_{state}", f"Calls {state}", labels=["server"]
         )
         metric.add_metric([server], value)
         yield metric
 
 
 class _EntryCollector(Collector):
-    def __init__(self, core: EntryCore, counts: TransportCounters) -> None:
+    def __init__(self, core: EntryCore, counters: TransportCounters) -> None:
         self._core = core
-        self._counts = counts
+        self._counters = counters
 
     def collect(self) -> Iterable[Metric]:
         core = self._core
-        yield from _transport_metrics(self._counts)
+        yield from _transport_metrics(self._counters)
         yield _gauge("requests_waiting", "Requests waiting", core.waiting)
         yield _gauge("config_revision", "Configuration in force", core.revision)
 
 
 def metrics_route(collector: Collector) -> Route:
-    """Route that answers a scrape."""
+    """Make the route that answers scrapes."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(collector)
 
-    async def scrape(http: Request) -> Response:
+    async def scrape(req: Request) -> Response:
         return Response(generate_latest(registry), media_type="text/plain")
 
     return Route("/metrics", scrape)
@@ -102,24 +104,24 @@
 def make_side_app(
     member: str,
     core: SideCore,
-    counts: TransportCounters,
+    counters: TransportCounters,
     busy_s: Callable[[], float],
 ) -> Starlette:
-    """Make the HTTP application of a side process: metrics and health.
+    """Make the HTTP application of a side process: metrics and health check.
 
     Parameters
     ----------
     member : str
-        The process by address and start.
+        Member id of the process.
     core : SideCore
-        Whose values are read at each scrape.
-    counts : TransportCounters
-        What its connections to other processes have carried.
+        Core whose values are reported.
+    counters : TransportCounters
+        Counters of the connections to other processes.
     busy_s : callable
-        Returns the seconds that the core has taken since the start.
+        Returns the seconds spent in the core since the start.
     """
 
-    async def health(http: Request) -> Response:
+    async def health(req: Request) -> Response:
         return JSONResponse(
             {
                 "member": member,
@@ -134,10 +136,10 @@
             }
         )
 
-    collector = _SideCollector(core, counts, busy_s)
+    collector = _SideCollector(core, counters, busy_s)
     return Starlette(routes=[metrics_route(collector), Route("/healthz", health)])
 
 
-def entry_metrics_route(core: EntryCore, counts: TransportCounters) -> Route:
-    """Route that answers a scrape of an entry."""
-    return metrics_route(_EntryCollector(core, counts))
+def entry_metrics_route(core: EntryCore, counters: TransportCounters) -> Route:
+    """Make the route that answers scrapes of an entry."""
+    return metrics_route(_EntryCollector(core, counters))
--- a/wisteriastair/nodemetrics.py
+++ b/wisteriastair/nodemetrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the processes on the users' platform, and the address that serves them."""
+"""Metrics of the processes on the users' platform, and the HTTP server for them."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 from .http1.caller import CallerConnection, Handler
 from .http1.messages import BadRequest, Request
 
-# The port is ours to choose; deploy/system.toml names it too.
+# deploy/system.toml contains the same port.
 METRICS_PORT: Final = 9464
 METRICS_PATH: Final = "/metrics"
-# Seconds; from a plain lookup on an idle server to the longest route limit.
+# In seconds, from a plain lookup on an idle server to the longest timeout of a route.
 LATENCY_BUCKETS: Final = (0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 4.0)
-# Seconds; one sync of a disk up to the limit for a reservation.
+# In seconds, from one sync of a disk to the timeout of a reservation.
 LEDGER_BUCKETS: Final = (0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.3, 1.0)
 
-# Customers that are counted by name.
+# Maximum number of customers that have a label of their own.
 MAX_CUSTOMERS: Final = 200
 OTHER_CUSTOMERS: Final = "(others)"
 
@@ -35,7 +35,7 @@
 
 
 class RelayMetrics:
-    """Counters and histograms of a relay; docs/OPERATIONS.md says what they mean."""
+    """Counters and histograms of a relay; docs/OPERATIONS.md describes them."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -77,7 +77,7 @@
             buckets=LEDGER_BUCKETS,
             registry=self.registry,
         )
-        self._named: set[str] = set()
+        self._labelled_customers: set[str] = set()
         self.gauges = {
             name: Gauge(f"wisteriastair_{name}", text, registry=self.registry)
             for name, text in (
@@ -99,15 +99,15 @@
         }
 
     def count_customer_request(self, customer: str, outcome: str) -> None:
-        """Count what became of a customer's request.
+        """Count a request of a customer by its outcome.
 
-        Thousands of customers would make a scrape of megabytes, so those that come
-        after the first ones are counted together.
+        Labels for thousands of customers would add megabytes to a scrape.  Only the
+        first `MAX_CUSTOMERS` customers have labels; the others are counted together.
         """
-        if len(self._named) < MAX_CUSTOMERS:
-            self._named.add(customer)
-        name = customer if customer in self._named else OTHER_CUSTOMERS
-        self.customer_requests.labels(name, outcome).inc()
+        if len(self._labelled_customers) < MAX_CUSTOMERS:
+            self._labelled_customers.add(customer)
+        label = customer if customer in self._labelled_customers else OTHER_CUSTOMERS
+        self.customer_requests.labels(label, outcome).inc()
 
 
 class KeeperMetrics:
@@ -147,15 +147,15 @@
         self._registry = registry
 
     def is_closing(self) -> bool:
-        """Keep channels open."""
+        """Keep connections open."""
         return False
 
     def limits(self) -> CallerLimits:
-        """Limits of its own."""
+        """Return the default limits."""
         return CallerLimits()
 
     def refuse(self, bad: BadRequest, caller_conn: CallerConnection) -> None:
-        """Answer a request that could not be taken."""
+        """Answer a request that could not be read."""
         caller_conn.respond(bad.status, [], bad.reason.encode())
 
     async def handle(self, req: Request, caller_conn: CallerConnection) -> None:
@@ -163,14 +163,14 @@
         if req.path != METRICS_PATH:
             caller_conn.respond(404, [], b"")
             return
-        kind = (b"Content-Type", b"text/plain; version=0.0.4")
-        caller_conn.respond(200, [kind], generate_latest(self._registry))
+        content_type = (b"Content-Type", b"text/plain; version=0.0.4")
+        caller_conn.respond(200, [content_type], generate_latest(self._registry))
 
 
 async def serve_metrics(
     address: str, registry: CollectorRegistry, group: TaskGroup
 ) -> None:
-    """Listen for scrapes; a port that is taken costs the metrics, not the service."""
+    """Listen for scrapes; if the port is in use, metrics are not served."""
     caller_conns: set[CallerConnection] = set()
     handler = MetricsHandler(registry)
     try:
--- a/wisteriastair/nodeoptions.py
+++ b/wisteriastair/nodeoptions.py
@@ -1,7 +1,7 @@
 """Settings of the processes that run on the users' platform.
 
-One typed object holds what a relay or a keeper needs to know.  It is filled from the
-platform's settings file by `platform.settings`; nothing else reads that file.
+`NodeOptions` contains the settings of a relay or a keeper.  `platform.settings` creates
+it from the platform's settings file; no other module reads that file.
 """
 
 from __future__ import annotations
@@ -19,42 +19,41 @@
     name : str
         Name of the instance.
     address : str
-        IP number of the instance.
+        IP address of the instance.
     domain : str
         Failure domain of the instance.
     internal_port : int
-        Port for the other processes of the system.
+        Port for connections of other processes of the system.
     store : str
         ``IP:PORT`` of the platform's store.
     caller_address : str
         ``IP:PORT`` on which callers are served; empty on a keeper.
     ready_address : str
-        ``IP:PORT`` on which the platform asks whether to send callers; empty on a
+        ``IP:PORT`` on which the platform checks the readiness for callers; empty on a
         keeper.
     data_dir : str
-        Folder on the disk; empty on a relay.
+        Data directory on the disk; empty on a relay.
     memory_bytes : int
-        Memory over which the process is killed.
+        Memory limit above which the process is killed.
     max_failures : int
-        Instances with a disk that may be lost at once.
+        Number of instances with a disk that may fail at once.
     first_start : bool
         True if the whole system starts for the first time.
     grace_s : float
         Seconds between the signal to stop and the kill.
     drain_s : float
-        Seconds for which a server that has left still serves.
+        Seconds for which a server still serves after it has left.
     seeds : tuple of str
-        Addresses for the system's processes of some instances with a disk; they may be
-        stale.
+        Internal addresses of some instances with a disk; they may be outdated.
     settle_deadline_s : float
         Seconds within which an ended turn must be settled in the ledger.
     config_deadline_s : float
         Seconds within which a configuration must be in force everywhere.
     contact_s : float
-        Seconds after the store's return, or its own, within which a process must know
-        what the store holds.
+        Seconds within which a process must have read the store after an outage of the
+        store or of the process.
     quota : QuotaBounds
-        How customers' quotas are judged.
+        Criteria by which the operators judge quotas.
     """
 
     name: str
@@ -78,17 +77,17 @@
 
     @property
     def change_s(self) -> float:
-        """Seconds within which any change in the store has to be in force."""
+        """Seconds within which a change in the store must be in force."""
         return min(self.drain_s, self.config_deadline_s)
 
     @property
     def internal(self) -> str:
-        """Address for the other processes of the system."""
+        """``IP:PORT`` for connections of other processes of the system."""
         return f"{self.address}:{self.internal_port}"
 
 
 class BadNodeSetting(NamedTuple):
-    """A field of the settings file that is missing or cannot be used."""
+    """A field of the settings file that is missing or invalid."""
 
     field: str
     reason: str
--- a/wisteriastair/nodes.py
+++ b/wisteriastair/nodes.py
@@ -1,7 +1,7 @@
 """Commands of the processes that run on the users' platform.
 
-They take their settings from the platform's file and import only what they run, since
-start and memory of every one of them are paid for.
+They read their settings from the platform's settings file.  Each imports only the
+modules that it runs, which saves startup time and memory.
 """
 
 from __future__ import annotations
@@ -19,18 +19,19 @@
 from .platform.settings import SETTINGS_VARIABLE, load_settings
 
 EXIT_BAD_SETTING: Final = 2
-# Objects allocated between two collections of the youngest generation.  The default of
-# 700 collects several times a request; nearly all objects here die by their counts.
+# Allocations between two garbage collections of the youngest generation.  The default
+# of 700 collects several times per request, but reference counting frees nearly all
+# objects.
 GC_THRESHOLD: Final = 20_000
 
 
 def relay(*, settings: str = "", log_level: str = "info") -> int:
-    """Run a relay: callers' requests on their way to backend servers.
+    """Run a relay, which forwards callers' requests to backend servers.
 
     Parameters
     ----------
     settings : str
-        Path of the platform's settings file; by default what WISTERIASTAIR_BOOT names.
+        Path of the platform's settings file; the default is $WISTERIASTAIR_BOOT.
     log_level : str
         debug, info, warning or error.
     """
@@ -38,12 +39,12 @@
 
 
 def keeper(*, settings: str = "", log_level: str = "info") -> int:
-    """Run a keeper: a replica of the ledger on an instance with a disk.
+    """Run a keeper, which stores a replica of the ledger on an instance with a disk.
 
     Parameters
     ----------
     settings : str
-        Path of the platform's settings file; by default what WISTERIASTAIR_BOOT names.
+        Path of the platform's settings file; the default is $WISTERIASTAIR_BOOT.
     log_level : str
         debug, info, warning or error.
     """
@@ -75,8 +76,8 @@
     cfg = load_settings(settings or os.environ.get(SETTINGS_VARIABLE, ""))
     name = "" if isinstance(cfg, BadNodeSetting) else cfg.name
     set_up_daemon_logs(log_level, name)
-    bad = cfg if isinstance(cfg, BadNodeSetting) else run(cfg)
-    if bad is None:
+    bad_setting = cfg if isinstance(cfg, BadNodeSetting) else run(cfg)
+    if bad_setting is None:
         return 0
-    print(f"wisteriastair: {bad}", file=sys.stderr)
+    print(f"wisteriastair: {bad_setting}", file=sys.stderr)
     return EXIT_BAD_SETTING
--- a/wisteriastair/options.py
+++ b/wisteriastair/options.py
@@ -1,8 +1,9 @@
-"""Settings of the daemons: defaults, and checks at the start.
+"""Settings of the daemons: defaults, and validation at startup.
 
-Each setting is a flag and an environment variable (``--kv-url`` and
-``WISTERIASTAIR_KV_URL``); the flag wins.  A wrong one ends the program before it does
-anything, with one line that names the setting, the value and what is allowed.
+Each setting is a flag and an environment variable (``--platform-url`` and
+``WISTERIASTAIR_PLATFORM_URL``); the flag takes precedence.  An invalid setting ends the
+process at startup, with one line that contains its name, its value and the allowed
+values.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from .core.routing import ROUTERS
 
 ENV_PREFIX: Final = "WISTERIASTAIR_"
-ADDRESS: Final = re.compile(r"^[0-9.]+:[0-9]{1,5}$")
+ADDRESS_PATTERN: Final = re.compile(r"^[0-9.]+:[0-9]{1,5}$")
 MAX_SLOTS: Final = 65_536
 MAX_PORT: Final = 65_535
 
@@ -42,7 +43,7 @@
     log_level : str
         ``debug``, ``info``, ``warning`` or ``error``.
     trace_file : str
-        File for spans, one JSON object a line; empty for none.
+        File for spans, one JSON object per line; empty for none.
     """
 
     listen: str
@@ -64,20 +65,20 @@
     models, plain : tuple of str
         Backend servers as ``NAME=URL``: model engines and plain services.
     router, order : str
-        Policy rules; see `core.routing` and `core.ordering`.
+        Names of policies; see `core.routing` and `core.ordering`.
     running, queued : int
-        Calls that a gate lets into its server, and that may wait.
+        Maximum number of concurrent and of waiting calls of a gate.
     kv_tokens : int
-        Tokens that a gate lets into its server at once.
+        Maximum number of tokens of concurrent calls of a gate.
     max_active : int
-        Programs under way at once on this process.
+        Maximum number of running programs on this process.
     max_wait_s : float
-        Predicted seconds of waiting over which a new program is refused; 0 for none.
+        Predicted wait in seconds above which a new program is rejected; 0 for none.
     stop_s : float
-        Seconds after which a planned stop that cannot hand over exits all the same;
-        0 to wait without limit.
+        Seconds after which a planned stop exits even if slots could not be handed over;
+        0 for no limit.
     prefill_tokens_s : float
-        Prompt tokens a second that one engine computes, for comparing costs.
+        Prompt tokens per second that one engine computes, used to compare costs.
     """
 
     common: CommonOptions
@@ -104,11 +105,11 @@
     operator_tokens : tuple of str
         ``OPERATOR=TOKEN`` for each operator's bearer token.
     patience_s : float
-        Seconds without a word from the carrier after which a request is given up.
+        Seconds without a message from the primary after which a request times out.
     max_body : int
-        Bytes of the largest request body.
+        Maximum size of a request body in bytes.
     tls_cert, tls_key : str
-        Files for TLS towards callers and operators; empty for plain HTTP.
+        Files for TLS with callers and operators; empty for plain HTTP.
     """
 
     common: CommonOptions
@@ -121,7 +122,7 @@
 
 
 class BadSetting(NamedTuple):
-    """A setting that cannot be used."""
+    """An invalid setting."""
 
     name: str
     value: str
@@ -132,7 +133,7 @@
 
 
 def check_common(cfg: CommonOptions) -> BadSetting | None:
-    """Check the settings of every daemon; None if they are all right."""
+    """Check the settings of every daemon; None if all are valid."""
     for name in ("listen", "http"):
         value = getattr(cfg, name)
         if not _is_address(value):
@@ -155,9 +156,9 @@
 
 def check_side(cfg: SideOptions) -> BadSetting | None:
     """Check the settings of a side process."""
-    bad = check_common(cfg.common)
-    if bad is not None:
-        return bad
+    bad_setting = check_common(cfg.common)
+    if bad_setting is not None:
+        return bad_setting
     for name in ("models", "plain"):
         for value in getattr(cfg, name):
             server, _, url = value.partition("=")
@@ -182,9 +183,9 @@
 
 def check_entry(cfg: EntryOptions) -> BadSetting | None:
     """Check the settings of an entry."""
-    bad = check_common(cfg.common)
-    if bad is not None:
-        return bad
+    bad_setting = check_common(cfg.common)
+    if bad_setting is not None:
+        return bad_setting
     for name in ("caller_tokens", "operator_tokens"):
         flag = "--" + name.replace("_", "-")
         for value in getattr(cfg, name):
@@ -206,12 +207,12 @@
 
 
 def split_pairs(values: tuple[str, ...]) -> dict[str, str]:
-    """Split ``NAME=VALUE`` settings that were checked before."""
+    """Split ``NAME=VALUE`` settings that have been checked."""
     return dict(value.split("=", 1) for value in values)
 
 
 def _is_address(value: str) -> bool:
-    if not ADDRESS.match(value):
+    if not ADDRESS_PATTERN.match(value):
         return False
     return 0 < int(value.rsplit(":", 1)[1]) <= MAX_PORT
 
--- a/wisteriastair/services/client.py
+++ b/wisteriastair/services/client.py
@@ -10,15 +10,15 @@
 from ..core.events import BackendEnded
 from ..core.wire import CallId, GateCall
 
-CONNECT_S: Final = 2.0
+CONNECT_TIMEOUT_S: Final = 2.0
 
 
 class PlainService(ABC):
-    """What a gate needs of a plain service."""
+    """Interface of a plain service for its gate."""
 
     @abstractmethod
     async def run(self, call: GateCall) -> BackendEnded:
-        """Run a call once; nothing is repeated here."""
+        """Run a call once, without retries."""
 
     @abstractmethod
     async def close(self) -> None:
@@ -29,46 +29,49 @@
     """A plain service over HTTP."""
 
     def __init__(self, url: str) -> None:
-        # A kept-alive connection may have been closed by the other end just as a
-        # request is written to it, and then nobody can tell whether it ran.  A new
-        # connection for each call leaves that doubt only for real failures.
+        # A server may close a kept-alive connection just as a request is written to it.
+        # It is then unknown whether the request ran.  With a new connection for each
+        # call, this happens only on real failures.
         limits = httpx.Limits(max_connections=None, max_keepalive_connections=0)
         self._client = httpx.AsyncClient(base_url=url, limits=limits)
 
     async def run(self, call: GateCall) -> BackendEnded:
         """Run a call."""
-        headers = {"content-type": "application/json", "x-call": _call_header(call)}
+        headers = {
+            "content-type": "application/json",
+            "x-call": _format_call_header(call),
+        }
         if call.trace:
             headers["traceparent"] = call.trace
-        timeout = httpx.Timeout(call.timeout_s, connect=CONNECT_S)
+        timeout = httpx.Timeout(call.timeout_s, connect=CONNECT_TIMEOUT_S)
         try:
-            answer = await self._client.post(
+            response = await self._client.post(
                 f"/{call.name}",
                 content=call.body.encode(),
                 headers=headers,
                 timeout=timeout,
             )
         except (httpx.ConnectError, httpx.ConnectTimeout):
-            return _ended(call.call, "refused", "no", "")
+            return _make_result(call.call, "refused", "no", "")
         except httpx.HTTPError:
-            return _ended(call.call, "lost", "unknown", "")
-        if answer.status_code >= httpx.codes.INTERNAL_SERVER_ERROR:
-            return _ended(call.call, "error", "unknown", "")
-        if answer.is_client_error:
-            text = f"error {answer.status_code}: {answer.text}"
-            return _ended(call.call, "ok", "yes", text)
-        return _ended(call.call, "ok", "yes", answer.text)
+            return _make_result(call.call, "lost", "unknown", "")
+        if response.status_code >= httpx.codes.INTERNAL_SERVER_ERROR:
+            return _make_result(call.call, "error", "unknown", "")
+        if response.is_client_error:
+            text = f"error {response.status_code}: {response.text}"
+            return _make_result(call.call, "ok", "yes", text)
+        return _make_result(call.call, "ok", "yes", response.text)
 
     async def close(self) -> None:
         """Close connections."""
         await self._client.aclose()
 
 
-def _call_header(call: GateCall) -> str:
+def _format_call_header(call: GateCall) -> str:
     return f"{call.call.program}/{call.call.number}/{call.call.attempt}"
 
 
-def _ended(call: CallId, status: str, ran: str, text: str) -> BackendEnded:
+def _make_result(call: CallId, status: str, ran: str, text: str) -> BackendEnded:
     return BackendEnded(call, status, ran, text, (), 0, 0, 0)
 
 
--- a/wisteriastair/sockets.py
+++ b/wisteriastair/sockets.py
@@ -1,8 +1,9 @@
-"""TCP options for connections that may go silent without being closed.
+"""TCP options that detect half-open connections.
 
-Something between the two ends may forget a connection, or drop all its packets, while
-new ones work.  Keep-alive probes and a bound on unacknowledged data end such a
-connection in about two seconds; without them it would stay open for hours.
+A device between the two ends may lose the state of a connection, or drop all its
+packets, while new connections work.  Keep-alive probes and a timeout for unacknowledged
+data close such a connection in about two seconds.  Without them it would stay open for
+hours.
 """
 
 from __future__ import annotations
@@ -12,14 +13,14 @@
 
 KEEPALIVE_S: Final = 1
 KEEPALIVE_PROBES: Final = 2
-UNACKED_MS: Final = 2_000
+UNACKED_DATA_TIMEOUT_MS: Final = 2_000
 
 SOCKET_OPTIONS: Final = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_S),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_S),
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
-    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_MS),
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_DATA_TIMEOUT_MS),
 )
 
 
--- a/wisteriastair/tracing.py
+++ b/wisteriastair/tracing.py
@@ -1,8 +1,8 @@
 """Traces: a span for each hop of a request.
 
-The context travels as a W3C ``traceparent`` string inside our own messages and as a
-header towards backend servers.  Spans are written as JSON lines by the loop's own
-thread, so no exporter thread is started.
+The context is passed as a W3C ``traceparent`` string in messages between processes, and
+as a header in requests to backend servers.  Spans are written as JSON lines on the
+thread of the event loop, so no exporter thread is started.
 """
 
 from __future__ import annotations
@@ -29,12 +29,12 @@
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
         for span in spans:
-            self._file.write(json.dumps(_as_dict(span)) + "\n")
+            self._file.write(json.dumps(_span_as_dict(span)) + "\n")
         self._file.flush()
         return SpanExportResult.SUCCESS
 
 
-def _as_dict(span: ReadableSpan) -> dict[str, object]:
+def _span_as_dict(span: ReadableSpan) -> dict[str, object]:
     context = span.get_span_context()
     assert context is not None, "a finished span has a context"
     return {
@@ -49,7 +49,7 @@
 
 
 def make_tracer(path: str) -> Tracer:
-    """Build a tracer that writes to a file; without a path, spans go nowhere."""
+    """Build a tracer that writes to a file; without a path, spans are discarded."""
     provider = TracerProvider()
     if path:
         file = open(path, "a", encoding="utf-8")  # noqa: SIM115
@@ -58,13 +58,13 @@
 
 
 def start_span(tracer: Tracer, name: str, parent: str, **attributes: str) -> Span:
-    """Start a span below a ``traceparent``; an empty parent starts a trace."""
+    """Start a child span of a ``traceparent``; an empty parent starts a new trace."""
     context = _PROPAGATOR.extract({"traceparent": parent}) if parent else None
     return tracer.start_span(name, context=context, attributes=dict(attributes))
 
 
 def traceparent_of(span: Span) -> str:
-    """Return the ``traceparent`` under which the next hop starts its span."""
+    """Return the ``traceparent`` of a span, the parent of the next hop's span."""
     carrier: dict[str, str] = {}
     _PROPAGATOR.inject(carrier, context=set_span_in_context(span))
     return carrier.get("traceparent", "")
