--- a/tests/callers/test_api.py
+++ b/tests/callers/test_api.py
@@ -48,10 +48,10 @@
 
     def __init__(self) -> None:
         self.revision = 7
-        self.current = EMPTY_CONFIG
+        self.current_config = EMPTY_CONFIG
         added = apply_change(EMPTY_CONFIG, PutService("c1", True, Service("appraisal")))
         assert isinstance(added, Config)
-        self.current = added
+        self.current_config = added
 
     @asynccontextmanager
     async def open_request(
@@ -86,13 +86,13 @@
     ) -> int | Failure:
         if expected and expected != self.revision:
             return Failure(Code.CONFLICT, f"at revision {self.revision}")
-        changed = apply_change(self.current, build_change(self.current))
+        changed = apply_change(self.current_config, build_change(self.current_config))
         if isinstance(changed, Failure):
             return changed
         return self.revision + 1
 
     def config(self) -> tuple[int, Config]:
-        return self.revision, self.current
+        return self.revision, self.current_config
 
     def instances(self) -> tuple[Instance, ...]:
         return ()
