--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -41,10 +41,10 @@
 def test_valid_file(tmp_path: Path) -> None:
     cfg = load(tmp_path, VALID)
     assert isinstance(cfg, NodeOptions)
-    assert cfg.internal == "10.1.0.1:7380"
+    assert cfg.internal_address == "10.1.0.1:7380"
     assert cfg.memory_bytes == 150 * 1024 * 1024
     assert cfg.drain_s == 2.0
-    assert cfg.change_s == 2.0
+    assert cfg.change_deadline_s == 2.0
     assert cfg.contact_s == 3.0
     assert cfg.max_failures == 1
     assert cfg.seeds == ("10.3.0.6:7380",)
--- a/wisteriastair/keeper/daemon.py
+++ b/wisteriastair/keeper/daemon.py
@@ -30,7 +30,7 @@
 from ..core.membership import Member, View, next_view
 from ..core.storetimes import make_store_timeouts
 from ..core.watchers import Subscribers, make_subscription
-from ..logs import dropped_lines
+from ..logs import dropped_line_count
 from ..nodemetrics import KeeperMetrics, serve_metrics
 from ..nodeoptions import NodeOptions
 from ..peers.ledgercodec import (
@@ -80,9 +80,9 @@
         self._cfg = cfg
         self._log = Log(os.path.join(cfg.data_dir, "ledger"))
         self._documents = Documents(os.path.join(cfg.data_dir, "store"))
-        self._store = Store(cfg.store, make_store_timeouts(cfg.contact_s))
+        self._store = Store(cfg.store_address, make_store_timeouts(cfg.contact_s))
         self._subscription = make_subscription(
-            cfg.internal, cfg.domain, cfg.max_failures, cfg.change_s
+            cfg.internal_address, cfg.domain, cfg.max_failures, cfg.change_deadline_s
         )
         self._subscribers = Subscribers()
         self._mirror = Mirror(
@@ -109,7 +109,10 @@
         loaded = self._log.load(now)
         self._documents.load()
         me = Member(
-            self._cfg.name, self._log.disk_id, self._cfg.internal, self._cfg.domain
+            self._cfg.name,
+            self._log.disk_id,
+            self._cfg.internal_address,
+            self._cfg.domain,
         )
         self._core = KeeperCore(
             me,
@@ -132,11 +135,11 @@
                 "view": loaded.view.number,
                 "cut_bytes": loaded.cut_bytes,
                 "damaged": loaded.damaged,
-                "first_start": self._cfg.first_start,
+                "first_start": self._cfg.is_first_start,
             },
         )
         self._transport = Transport(
-            f"{self._cfg.internal}#{uuid.uuid4().hex[:8]}",
+            f"{self._cfg.internal_address}#{uuid.uuid4().hex[:8]}",
             self._on_message,
             deployment=LEDGER_DEPLOYMENT,
             codec=LEDGER_CODEC,
@@ -145,7 +148,7 @@
         )
         async with anyio.create_task_group() as group:
             self._start_tasks(group)
-            await serve_metrics(self._cfg.address, self._metrics.registry, group)
+            await serve_metrics(self._cfg.ip_address, self._metrics.registry, group)
             await self._stop.wait()
             await self._announce_stop()
             group.cancel_scope.cancel()
@@ -251,7 +254,7 @@
             "store_calls": self._store.call_count,
             "store_revision": self._mirror.revision,
             "store_watched": self._mirror.is_watching,
-            "log_lines_dropped": dropped_lines(),
+            "log_lines_dropped": dropped_line_count(),
         }
         for name, value in values.items():
             self._metrics.gauges[name].set(value)
--- a/wisteriastair/keeper/storage.py
+++ b/wisteriastair/keeper/storage.py
@@ -85,8 +85,8 @@
             self._core.on_sync_failed(batch)
             await anyio.sleep(WRITE_RETRY_S)
             return
-        self._metrics.sync.observe(self._clock() - started_at)
-        self._metrics.records.inc(len(batch.entries))
+        self._metrics.sync_duration.observe(self._clock() - started_at)
+        self._metrics.records_written.inc(len(batch.entries))
         self._core.on_synced(batch)
 
     async def reclaim_space(self, now: float) -> bool:
--- a/wisteriastair/logs.py
+++ b/wisteriastair/logs.py
@@ -89,7 +89,7 @@
     _install(NonBlockingHandler(sys.stdout.fileno()), level, instance)
 
 
-def dropped_lines() -> int:
+def dropped_line_count() -> int:
     """Return the number of lines that were dropped since the start."""
     handlers = logging.getLogger().handlers
     return sum(h.dropped_count for h in handlers if isinstance(h, NonBlockingHandler))
--- a/wisteriastair/main.py
+++ b/wisteriastair/main.py
@@ -77,7 +77,7 @@
     slots : int
         Number of slots; the same in every process.
     segments : int
-        Number of keys of the slot table; the same in every process.
+        Number of keys that store the slot table; the same in every process.
     patience_s : float
         Seconds without a message from the primary after which a request times out.
     max_body : int
@@ -167,7 +167,7 @@
     slots : int
         Number of slots; the same in every process.
     segments : int
-        Number of keys of the slot table; the same in every process.
+        Number of keys that store the slot table; the same in every process.
     router : str
         cost, round-robin, least-load or affinity.
     order : str
--- a/wisteriastair/nodemetrics.py
+++ b/wisteriastair/nodemetrics.py
@@ -115,13 +115,13 @@
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
-        self.sync = Histogram(
+        self.sync_duration = Histogram(
             "wisteriastair_sync_seconds",
             "Seconds to write and sync one batch",
             buckets=LEDGER_BUCKETS,
             registry=self.registry,
         )
-        self.records = Counter(
+        self.records_written = Counter(
             "wisteriastair_records", "Records written", registry=self.registry
         )
         self.gauges = {
--- a/wisteriastair/nodeoptions.py
+++ b/wisteriastair/nodeoptions.py
@@ -18,13 +18,13 @@
     ----------
     name : str
         Name of the instance.
-    address : str
+    ip_address : str
         IP address of the instance.
     domain : str
         Failure domain of the instance.
     internal_port : int
         Port for connections of other processes of the system.
-    store : str
+    store_address : str
         ``IP:PORT`` of the platform's store.
     caller_address : str
         ``IP:PORT`` on which callers are served; empty on a keeper.
@@ -37,7 +37,7 @@
         Memory limit above which the process is killed.
     max_failures : int
         Number of instances with a disk that may fail at once.
-    first_start : bool
+    is_first_start : bool
         True if the whole system starts for the first time.
     grace_s : float
         Seconds between the signal to stop and the kill.
@@ -57,16 +57,16 @@
     """
 
     name: str
-    address: str
+    ip_address: str
     domain: str
     internal_port: int
-    store: str
+    store_address: str
     caller_address: str
     ready_address: str
     data_dir: str
     memory_bytes: int
     max_failures: int
-    first_start: bool
+    is_first_start: bool
     grace_s: float
     drain_s: float
     settle_deadline_s: float
@@ -76,14 +76,14 @@
     quota: QuotaBounds = QuotaBounds()
 
     @property
-    def change_s(self) -> float:
+    def change_deadline_s(self) -> float:
         """Seconds within which a change in the store must be in force."""
         return min(self.drain_s, self.config_deadline_s)
 
     @property
-    def internal(self) -> str:
+    def internal_address(self) -> str:
         """``IP:PORT`` for connections of other processes of the system."""
-        return f"{self.address}:{self.internal_port}"
+        return f"{self.ip_address}:{self.internal_port}"
 
 
 class BadNodeSetting(NamedTuple):
--- a/wisteriastair/relay/daemon.py
+++ b/wisteriastair/relay/daemon.py
@@ -26,7 +26,7 @@
 from ..core.storetimes import make_store_timeouts
 from ..core.watchers import make_subscription
 from ..http1.caller import CallerConnection
-from ..logs import dropped_lines
+from ..logs import dropped_line_count
 from ..nodemetrics import RelayMetrics, serve_metrics
 from ..nodeoptions import NodeOptions
 from ..peers.ledgercodec import (
@@ -71,10 +71,10 @@
 
     def __init__(self, cfg: NodeOptions) -> None:
         self._cfg = cfg
-        self._store = Store(cfg.store, make_store_timeouts(cfg.contact_s))
+        self._store = Store(cfg.store_address, make_store_timeouts(cfg.contact_s))
         self._fleet = Fleet(cfg.drain_s)
         self._subscription = make_subscription(
-            cfg.internal, cfg.domain, cfg.max_failures, cfg.change_s
+            cfg.internal_address, cfg.domain, cfg.max_failures, cfg.change_deadline_s
         )
         self._mirror = Mirror(
             self._store,
@@ -106,7 +106,7 @@
         """Run until a signal requests a shutdown."""
         log.info("relay started")
         self._transport = transport = Transport(
-            f"{self._cfg.internal}#{uuid.uuid4().hex[:8]}",
+            f"{self._cfg.internal_address}#{uuid.uuid4().hex[:8]}",
             self._on_message,
             deployment=LEDGER_DEPLOYMENT,
             codec=LEDGER_CODEC,
@@ -121,7 +121,7 @@
             group.start_soon(self._sweep, transport)
             group.start_soon(self._probe_ledger)
             group.start_soon(self._request_documents, transport)
-            await serve_metrics(self._cfg.address, self._metrics.registry, group)
+            await serve_metrics(self._cfg.ip_address, self._metrics.registry, group)
             group.start_soon(self._watch_signals)
             await self._serve(group)
             group.cancel_scope.cancel()
@@ -340,7 +340,7 @@
             "store_watched": self._mirror.is_watching,
             "ledger_resent": self._ledger.resend_count,
             "chain_bytes": self._chains.size_bytes,
-            "log_lines_dropped": dropped_lines(),
+            "log_lines_dropped": dropped_line_count(),
         }
         for name, value in values.items():
             self._metrics.gauges[name].set(value)
