--- a/wisteriastair/callers/api.py
+++ b/wisteriastair/callers/api.py
@@ -251,7 +251,7 @@
 def _error_response(failure: Failure) -> Response:
     headers = {}
     if failure.retry_after_s > 0:
-        # Rounded up: a caller that comes back early would only be refused again.
+        # Rounded up, since a caller that retries too early would be rejected again.
         headers["retry-after"] = str(ceil(failure.retry_after_s))
     return JSONResponse(
         error_body(failure), status_code=http_status(failure.code), headers=headers
--- a/wisteriastair/daemons/platform_link.py
+++ b/wisteriastair/daemons/platform_link.py
@@ -105,10 +105,10 @@
                 self._watch_changed = anyio.Event()
                 continue
             self.call_count += 1
-            started = time.monotonic()
+            started_at = time.monotonic()
             events = await self._key_value.watch(self._newest_revision)
             for event in events or ():
                 self._newest_revision = max(self._newest_revision, event.revision)
                 self._on_event(event)
-            if events is None or time.monotonic() - started < WATCH_RETRY_S / 10:
+            if events is None or time.monotonic() - started_at < WATCH_RETRY_S / 10:
                 await anyio.sleep(WATCH_RETRY_S)
--- a/wisteriastair/daemons/web.py
+++ b/wisteriastair/daemons/web.py
@@ -30,7 +30,8 @@
         cfg.certfile = tls_cert
         cfg.keyfile = tls_key
     application: Any = app
-    # The server gets its own task, since it leaves a cancellation pending in its task
-    # when it ends.  In the daemon's task, a planned stop would look like a crash.
+    # The server runs in a separate task, since it leaves a cancellation pending in its
+    # task when it ends.  In the daemon's task, this would make a planned stop look like
+    # a crash.
     async with anyio.create_task_group() as group:
         group.start_soon(partial(serve, application, cfg, shutdown_trigger=stop.wait))
--- a/wisteriastair/main.py
+++ b/wisteriastair/main.py
@@ -356,11 +356,11 @@
     rest: list[str] = []
     remaining = iter(argv)
     for arg in remaining:
-        flag, has_value, value = arg.partition("=")
+        flag, separator, value = arg.partition("=")
         if flag != "--aim":
             rest.append(arg)
             continue
-        aim = value if has_value else next(remaining, None)
+        aim = value if separator else next(remaining, None)
         if aim is None:
             # The parser reports the missing value.
             return list(argv)
