--- a/wisteriastair/keeper/daemon.py
+++ b/wisteriastair/keeper/daemon.py
@@ -171,7 +171,7 @@
         ) as signals:
             async for signal_number in signals:
                 if signal_number == signal.SIGHUP:
-                    log.info("reload ignored: settings cannot change while running")
+                    log.info("SIGHUP ignored: settings cannot be reloaded")
                     continue
                 log.info("stopping")
                 self._stop.set()
