--- a/tests/callers/test_api.py
+++ b/tests/callers/test_api.py
@@ -97,7 +97,7 @@
     def instances(self) -> tuple[Instance, ...]:
         return ()
 
-    def rows(self) -> list[SlotRow]:
+    def slot_rows(self) -> list[SlotRow]:
         return [SlotRow(0, "a#1", "b#1", 3)]
 
 
--- a/tests/core/chaos.py
+++ b/tests/core/chaos.py
@@ -21,7 +21,7 @@
 from wisteriastair.standins.virtual_parts import (
     VirtualOptions,
     VirtualServer,
-    undisturbed,
+    no_extra_delays,
 )
 
 PROGRAM_COUNT: Final = 24
@@ -95,8 +95,10 @@
             prompt=self.prompts[key],
             stream=self.random.random() < 0.7,
         )
-        request = self.deployment.ask(spec, self.random.choice((1, 2)))
-        self.deployment.on_last[request] = lambda e: self.on_ended(key, request, e)
+        request = self.deployment.submit(spec, self.random.choice((1, 2)))
+        self.deployment.on_final_event[request] = lambda e: self.on_ended(
+            key, request, e
+        )
 
     def on_ended(self, key: str, request: str, event: object) -> None:
         assert isinstance(event, Done | Refused)
@@ -136,18 +138,18 @@
             deployment.after(30.0, lambda: self.restart(name))
         elif kind == "freeze" and usable:
             deployment.freeze(name)
-            deployment.after(seconds, lambda: deployment.thaw(name))
+            deployment.after(seconds, lambda: deployment.resume(name))
         elif kind == "cut":
             other = self.random.choice([n for n in deployment.nodes if n != name])
-            deployment.cut(name, other)
-            deployment.after(seconds, deployment.heal)
+            deployment.partition(name, other)
+            deployment.after(seconds, deployment.remove_partitions)
         elif kind == "outage":
             deployment.kv.up = False
             deployment.after(seconds, self.restore_kv)
         elif kind == "lose":
-            deployment.kv.lose_answers += self.random.randint(1, 3)
+            deployment.kv.responses_to_drop += self.random.randint(1, 3)
         elif kind == "disturb":
-            self.disturb_messages(seconds)
+            self.disturb_delivery(seconds)
 
     def can_kill(self) -> bool:
         """Whether no other process is down; two failures at once may lose a slot."""
@@ -159,11 +161,13 @@
     def restore_kv(self) -> None:
         self.deployment.kv.up = True
 
-    def disturb_messages(self, seconds: float) -> None:
+    def disturb_delivery(self, seconds: float) -> None:
         """Drop, delay and duplicate some messages for a while."""
         random = Random(self.random.random())
 
-        def disturb(sender: str, to: str, message: Message) -> tuple[float, ...]:
+        def delivery_delays(
+            sender: str, to: str, message: Message
+        ) -> tuple[float, ...]:
             draw = random.random()
             if draw < 0.04:
                 return ()
@@ -173,11 +177,11 @@
                 return (0.0, random.random() * 5.0)
             return (0.0,)
 
-        self.deployment.disturb = disturb
-        self.deployment.after(seconds, self.stop_disturbing)
+        self.deployment.delivery_delays = delivery_delays
+        self.deployment.after(seconds, self.restore_delivery)
 
-    def stop_disturbing(self) -> None:
-        self.deployment.disturb = undisturbed
+    def restore_delivery(self) -> None:
+        self.deployment.delivery_delays = no_extra_delays
 
     def restart(self, name: str) -> None:
         node = self.deployment.nodes[name]
@@ -262,8 +266,8 @@
     chaos.schedule()
     chaos.watch_revisions()
     chaos.deployment.run(LAST_FAULT_S + 10.0)
-    chaos.deployment.heal()
-    chaos.stop_disturbing()
+    chaos.deployment.remove_partitions()
+    chaos.restore_delivery()
     chaos.deployment.run_until(chaos.is_settled, SETTLE_S)
     chaos.deployment.run(LEASE_EXPIRY_S + 10.0)
     return chaos.report(), chaos
--- a/tests/core/deployments.py
+++ b/tests/core/deployments.py
@@ -82,7 +82,7 @@
     """Return the answer of each request, or its error code."""
     found = []
     for request in requests:
-        last = deployment.last(request)
+        last = deployment.final_event(request)
         if isinstance(last, Done):
             outcome = last.outcome
             found.append(outcome.answer if outcome.status == "done" else outcome.status)
@@ -93,7 +93,7 @@
 
 def all_ended(deployment: VirtualDeployment, requests: list[str]) -> bool:
     """Whether every request has its final event."""
-    return all(deployment.last(request) is not None for request in requests)
+    return all(deployment.final_event(request) is not None for request in requests)
 
 
 def streamed(deployment: VirtualDeployment, request: str) -> dict[int, str]:
--- a/tests/core/test_chaos.py
+++ b/tests/core/test_chaos.py
@@ -80,15 +80,17 @@
     deployment.run(30.0)
     delayed: list[str] = []
 
-    def disturb(sender: str, to: str, message: Message) -> tuple[float, ...]:
+    def delivery_delays(sender: str, to: str, message: Message) -> tuple[float, ...]:
         if isinstance(message, GateCall) and message.name == "swaps/reserve":
             delayed.append(to)
             return (3.0,) if len(delayed) == 1 else (0.0,)
         return (0.0,)
 
-    deployment.disturb = disturb
-    request = deployment.ask(start("k"))
-    assert deployment.run_until(lambda: deployment.last(request) is not None, 30.0)
+    deployment.delivery_delays = delivery_delays
+    request = deployment.submit(start("k"))
+    assert deployment.run_until(
+        lambda: deployment.final_event(request) is not None, 30.0
+    )
     deployment.run(10.0)
     assert len(delayed) >= 2, "a second attempt was made"
     done = [e for e in deployment.executions if e.operation == "swaps/reserve"]
--- a/tests/core/test_failures.py
+++ b/tests/core/test_failures.py
@@ -36,7 +36,7 @@
 
 def test_programs_complete_without_failures() -> None:
     deployment = office()
-    requests = [deployment.ask(start(f"k{n}"), 1 + n % 2) for n in range(12)]
+    requests = [deployment.submit(start(f"k{n}"), 1 + n % 2) for n in range(12)]
     run_until_ended(deployment, requests)
     assert answers(deployment, requests) == [ANSWER] * 12
     assert reservation_count(deployment) == 12
@@ -54,13 +54,13 @@
     reservation must not run twice.
     """
     deployment = office()
-    request = deployment.ask(start("k"))
+    request = deployment.submit(start("k"))
     deployment.run(moment_s)
     killed_process = primary_of(deployment, program_id("citizens", "k"))
     assert killed_process.startswith("side")
     deployment.kill(killed_process)
     run_until_ended(deployment, [request])
-    last = deployment.last(request)
+    last = deployment.final_event(request)
     assert isinstance(last, Done)
     gate_died_with_call = last.outcome.status == "outcome_unknown"
     if gate_died_with_call:
@@ -81,7 +81,7 @@
     exists in a single process only.
     """
     deployment = office()
-    requests = [deployment.ask(start(f"k{n}"), 1 + n % 2) for n in range(8)]
+    requests = [deployment.submit(start(f"k{n}"), 1 + n % 2) for n in range(8)]
     for server in deployment.cfg.servers[:3]:
         deployment.kill(f"side-{server.name}", listed=True)
         deployment.run(0.5)
@@ -100,12 +100,12 @@
     ignore the old epoch, and it drops the slots.
     """
     deployment = office()
-    requests = [deployment.ask(start(f"k{n}")) for n in range(6)]
+    requests = [deployment.submit(start(f"k{n}")) for n in range(6)]
     deployment.run(0.5)
     killed_process = primary_of(deployment, program_id("citizens", "k0"))
     deployment.freeze(killed_process)
     deployment.run(8.0)
-    deployment.thaw(killed_process)
+    deployment.resume(killed_process)
     run_until_ended(deployment, requests)
     assert answers(deployment, requests) == [ANSWER] * 6
     assert reservation_count(deployment) == 6
@@ -120,7 +120,7 @@
     """
     deployment = office()
     deployment.kv.up = False
-    requests = [deployment.ask(start(f"k{n}"), 1 + n % 2) for n in range(8)]
+    requests = [deployment.submit(start(f"k{n}"), 1 + n % 2) for n in range(8)]
     run_until_ended(deployment, requests)
     assert answers(deployment, requests) == [ANSWER] * 8
 
@@ -133,14 +133,16 @@
     takeover succeeds and a repeated request gets the whole answer.
     """
     deployment = office()
-    first = deployment.ask(start("k"))
+    first = deployment.submit(start("k"))
     deployment.run(0.4)
     deployment.kv.up = False
     killed_process = primary_of(deployment, program_id("citizens", "k"))
     deployment.kill(killed_process)
     deployment.run(25.0)
-    assert deployment.last(first) is not None, "the request was given up with an answer"
-    again = deployment.ask(start("k"), 2)
+    assert deployment.final_event(first) is not None, (
+        "the request was given up with an answer"
+    )
+    again = deployment.submit(start("k"), 2)
     deployment.kv.up = True
     run_until_ended(deployment, [again])
     assert answers(deployment, [again]) == [ANSWER]
@@ -154,9 +156,9 @@
     the table, finds its own row and continues; it does not propose a second row.
     """
     deployment = office()
-    request = deployment.ask(start("k"))
+    request = deployment.submit(start("k"))
     deployment.run(0.4)
-    deployment.kv.lose_answers = 3
+    deployment.kv.responses_to_drop = 3
     killed_process = primary_of(deployment, program_id("citizens", "k"))
     deployment.kill(killed_process)
     run_until_ended(deployment, [request])
@@ -172,13 +174,13 @@
     other member waits for the repair instead of taking over again.
     """
     deployment = office()
-    request = deployment.ask(start("k"))
+    request = deployment.submit(start("k"))
     deployment.run(0.4)
     program = program_id("citizens", "k")
     primary = primary_of(deployment, program)
     rows = rows_of(deployment)
     row = next(r for r in rows.values() if r.slot == _program_slot(deployment, program))
-    deployment.cut(primary, row.standby.split(":")[0])
+    deployment.partition(primary, row.standby.split(":")[0])
     run_until_ended(deployment, [request])
     assert answers(deployment, [request]) == [ANSWER]
     assert reservation_count(deployment) == 1
@@ -200,7 +202,7 @@
     waits for the calls in its gate, reports that it is drained and only then exits.
     """
     deployment = office()
-    requests = [deployment.ask(start(f"k{n}"), 1 + n % 2) for n in range(8)]
+    requests = [deployment.submit(start(f"k{n}"), 1 + n % 2) for n in range(8)]
     deployment.run(0.3)
     deployment.stop_side("side-m1")
     drained = deployment.run_until(lambda: deployment.nodes["side-m1"].drained, 60.0)
@@ -221,7 +223,7 @@
     call that must not be repeated ends with an unknown outcome.
     """
     deployment = office()
-    requests = [deployment.ask(start(f"k{n}"), 1 + n % 2) for n in range(8)]
+    requests = [deployment.submit(start(f"k{n}"), 1 + n % 2) for n in range(8)]
     deployment.run(moment_s)
     deployment.stop_side(name)
     assert deployment.run_until(lambda: deployment.nodes[name].drained, 60.0)
@@ -234,10 +236,10 @@
     """Every answer is whole although one message in ten is lost."""
     deployment = office()
     counter = iter(range(10_000_000))
-    deployment.disturb = lambda sender, to, message: (
+    deployment.delivery_delays = lambda sender, to, message: (
         () if next(counter) % 10 == 9 else (0.0,)
     )
-    requests = [deployment.ask(start(f"k{n}"), 1 + n % 2) for n in range(8)]
+    requests = [deployment.submit(start(f"k{n}"), 1 + n % 2) for n in range(8)]
     run_until_ended(deployment, requests)
     assert answers(deployment, requests) == [ANSWER] * 8
     assert reservation_count(deployment) <= 8
@@ -258,7 +260,7 @@
     assert not deployment.nodes["side-m1"].drained
     deployment.run(10.0)
     assert deployment.nodes["side-m1"].drained
-    assert any("stop limit reached" in note for note in deployment.notes)
+    assert any("stop limit reached" in message for message in deployment.log_messages)
 
 
 def test_ended_program_is_dropped_after_retention() -> None:
@@ -268,7 +270,7 @@
     with "unknown program, may have run", and new programs still run.
     """
     deployment = office()
-    request = deployment.ask(start("k"))
+    request = deployment.submit(start("k"))
     run_until_ended(deployment, [request])
     deployment.run(ENDED_RETENTION_S + 30.0)
     program = program_id("citizens", "k")
@@ -276,12 +278,12 @@
         if isinstance(node.core, SideCore):
             assert program not in node.core.programs.by_name
             assert not node.core.slots.has_entries(program)
-    late = deployment.ask(RequestSpec("attach", "citizens", program=program))
+    late = deployment.submit(RequestSpec("attach", "citizens", program=program))
     run_until_ended(deployment, [late])
-    last = deployment.last(late)
+    last = deployment.final_event(late)
     assert isinstance(last, Done)
     assert (last.outcome.status, last.outcome.ran) == ("unknown_program", "unknown")
-    again = deployment.ask(start("other"))
+    again = deployment.submit(start("other"))
     run_until_ended(deployment, [again])
     assert answers(deployment, [again]) == [ANSWER]
 
@@ -294,22 +296,22 @@
     answer, because its earlier calls are unknown.  Requests with other keys succeed.
     """
     deployment = office()
-    request = deployment.ask(start("k"))
+    request = deployment.submit(start("k"))
     deployment.run(0.6)
     program = program_id("citizens", "k")
     row = rows_of(deployment)[_program_slot(deployment, program)]
     for member in (row.primary, row.standby):
         deployment.kill(member.split(":")[0])
     run_until_ended(deployment, [request])
-    again = deployment.ask(start("k"), 2)
+    again = deployment.submit(start("k"), 2)
     run_until_ended(deployment, [again])
     for request_id in (request, again):
-        last = deployment.last(request_id)
+        last = deployment.final_event(request_id)
         assert isinstance(last, Done)
         assert (last.outcome.status, last.outcome.ran) == ("outcome_unknown", "unknown")
     assert reservation_count(deployment) <= 1
     assert rows_of(deployment)[row.slot].lost
     prompt = "Is it complete? words=9"
-    others = [deployment.ask(start(f"n{n}", prompt=prompt)) for n in range(6)]
+    others = [deployment.submit(start(f"n{n}", prompt=prompt)) for n in range(6)]
     run_until_ended(deployment, others)
     assert answers(deployment, others).count(final_answer(prompt)) >= 4
--- a/tests/operators/test_changes.py
+++ b/tests/operators/test_changes.py
@@ -82,7 +82,7 @@
     so that the write is not repeated.
     """
     kv = FakeKv()
-    kv.kv.lose_answers = 1
+    kv.kv.responses_to_drop = 1
     assert isinstance(make_named_change(kv, "appraisal"), ConfirmedChange)
     assert kv.config().changes == ("change-appraisal",)
 
--- a/tests/platform/test_mirror_watchers.py
+++ b/tests/platform/test_mirror_watchers.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.platform.fleet_of_mirrors import CONTACT_S, Fleet, Process
-from tests.virtual_loop import LoopTime, play_in_virtual_time
+from tests.virtual_loop import LoopTime, run_in_virtual_time
 from wisteriastair import clocks
 from wisteriastair.core.watchers import make_watch_times, watchers_of
 from wisteriastair.platform import mirror
@@ -37,7 +37,7 @@
             await scenario(fleet)
             group.cancel_scope.cancel()
 
-    play_in_virtual_time(main)
+    run_in_virtual_time(main)
 
 
 def watching_processes(fleet: Fleet) -> list[Process]:
--- a/tests/sessions/test_sessions.py
+++ b/tests/sessions/test_sessions.py
@@ -43,7 +43,7 @@
         self.lines.append(f"{self.deployment.now - self.started_at:6.1f}  {text}")
 
     def send(self, spec: RequestSpec, entry: int, label: str) -> None:
-        request = self.deployment.ask(spec, entry)
+        request = self.deployment.submit(spec, entry)
         self.requests[request] = label
         self.log(f"{label}: {spec.kind} at entry {entry}")
 
@@ -169,7 +169,7 @@
             session.gate_processes.append(to)
         return (0.0,)
 
-    deployment.disturb = record_dispatch
+    deployment.delivery_delays = record_dispatch
     assert deployment.run_until(lambda: bool(session.gate_processes), TIMEOUT_S)
     deployment.run(0.02)
 
--- a/tests/virtual_loop.py
+++ b/tests/virtual_loop.py
@@ -34,7 +34,7 @@
         return self._virtual_selector.now
 
 
-def play_in_virtual_time(scenario: Callable[[], Awaitable[None]]) -> None:
+def run_in_virtual_time(scenario: Callable[[], Awaitable[None]]) -> None:
     anyio.run(scenario, backend_options={"loop_factory": VirtualLoop})
 
 
--- a/wisteriastair/callers/gateway.py
+++ b/wisteriastair/callers/gateway.py
@@ -45,5 +45,5 @@
         """Return the instance list as last read."""
 
     @abstractmethod
-    def rows(self) -> list[SlotRow]:
+    def slot_rows(self) -> list[SlotRow]:
         """Return the slot table that this process has."""
--- a/wisteriastair/daemons/entry.py
+++ b/wisteriastair/daemons/entry.py
@@ -238,7 +238,7 @@
         """Return the instance list."""
         return self.core.instances
 
-    def rows(self) -> list[SlotRow]:
+    def slot_rows(self) -> list[SlotRow]:
         """Return the slot table."""
         return list(self.core.placement.rows.values())
 
--- a/wisteriastair/operators/api.py
+++ b/wisteriastair/operators/api.py
@@ -103,7 +103,7 @@
             case "servers":
                 table = server_table(config, self._gateway.instances())
             case "slots":
-                table = slot_table(self._gateway.rows())
+                table = slot_table(self._gateway.slot_rows())
             case "instances":
                 table = instance_table(self._gateway.instances())
             case _:
--- a/wisteriastair/standins/load.py
+++ b/wisteriastair/standins/load.py
@@ -163,7 +163,7 @@
             prompt=arrival.prompt,
         )
         started_at = self.deployment.now
-        request = self.deployment.ask(spec, 1 + self.pending % 2)
+        request = self.deployment.submit(spec, 1 + self.pending % 2)
 
         def ended(event: CallerEvent) -> None:
             self.pending -= 1
@@ -176,7 +176,7 @@
             if counted:
                 self._count(event, arrival, started_at)
 
-        self.deployment.on_last[request] = ended
+        self.deployment.on_final_event[request] = ended
 
     def _count(self, event: CallerEvent, arrival: Arrival, started_at: float) -> None:
         latency_s = self.deployment.now - started_at
--- a/wisteriastair/standins/virtual.py
+++ b/wisteriastair/standins/virtual.py
@@ -60,14 +60,14 @@
 from ..errors import Failure
 from .engine_model import PrefillStats, SimulatedEngine
 from .virtual_parts import (
-    Disturb,
+    DeliveryDelays,
     EngineCall,
     Execution,
     Node,
     VirtualKv,
     VirtualOptions,
     VirtualServer,
-    undisturbed,
+    no_extra_delays,
 )
 from .virtual_time import VirtualTime
 
@@ -85,16 +85,16 @@
     ----------
     events : dict
         Events that each request's caller has received, by request.
-    on_last : dict
+    on_final_event : dict
         Callbacks for the final event, by request.
     executions : list of Execution
         Calls that the plain services have executed.
-    notes : list of str
+    log_messages : list of str
         Log messages of the processes.
     hanging_servers : set of str
         Servers that accept calls and never respond.
-    disturb : Disturb
-        Delays and drops messages.
+    delivery_delays : DeliveryDelays
+        Returns the extra delay of each copy of a message; an empty tuple drops it.
     service_delay : callable
         Returns the duration of a plain call in seconds.
     """
@@ -106,13 +106,13 @@
         self.nodes: dict[str, Node] = {}
         self.instances: dict[str, Instance] = {}
         self.events: dict[str, list[CallerEvent]] = {}
-        self.on_last: dict[str, Callable[[CallerEvent], None]] = {}
+        self.on_final_event: dict[str, Callable[[CallerEvent], None]] = {}
         self.executions: list[Execution] = []
         self.prefill_stats = PrefillStats()
         self.engines: dict[str, SimulatedEngine] = {}
-        self.notes: list[str] = []
+        self.log_messages: list[str] = []
         self.hanging_servers: set[str] = set()
-        self.disturb: Disturb = undisturbed
+        self.delivery_delays: DeliveryDelays = no_extra_delays
         self.service_delay: Callable[[GateCall], float] = lambda call: cfg.service_s
         self.message_count = 0
         self.message_bytes = 0
@@ -220,7 +220,7 @@
         """Suspend a process, as SIGSTOP does."""
         self.nodes[name].frozen = True
 
-    def thaw(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         """Resume a frozen process and deliver the events that arrived meanwhile."""
         node = self.nodes[name]
         node.frozen = False
@@ -232,11 +232,11 @@
         """Start a planned stop."""
         self._deliver(self.nodes[name], StopRequested())
 
-    def cut(self, first: str, second: str) -> None:
+    def partition(self, first: str, second: str) -> None:
         """Drop all messages between two processes."""
         self._partitions.add(frozenset((first, second)))
 
-    def heal(self) -> None:
+    def remove_partitions(self) -> None:
         """Remove all network partitions."""
         self._partitions.clear()
 
@@ -307,7 +307,7 @@
                     node.drained = True
                     self.instances.pop(node.name, None)
                 case LogMessage(_, text, _):
-                    self.notes.append(f"{node.name}: {text}")
+                    self.log_messages.append(f"{node.name}: {text}")
 
     def _transmit(self, node: Node, to: str, message: Message) -> None:
         data = encode_message(message)
@@ -322,7 +322,7 @@
         if frozenset((node.name, name)) in self._partitions:
             return
         received = Received(node.member, decode_message(data))
-        for extra_s in self.disturb(node.name, name, message):
+        for extra_s in self.delivery_delays(node.name, name, message):
             delay_s = self.cfg.delay_s * (0.5 + self._random.random()) + extra_s
             self.after(delay_s, partial(self._deliver, target, received))
 
@@ -349,7 +349,7 @@
 
     # Callers and operators
 
-    def ask(self, spec: RequestSpec, entry: int = 1) -> str:
+    def submit(self, spec: RequestSpec, entry: int = 1) -> str:
         """Send a caller's request; its events are appended to ``events``."""
         self._request_count += 1
         request = f"request-{self._request_count}"
@@ -362,10 +362,10 @@
         if request not in self.events:
             return
         self.events[request].append(event)
-        if isinstance(event, Done | Refused) and request in self.on_last:
-            self.on_last.pop(request)(event)
+        if isinstance(event, Done | Refused) and request in self.on_final_event:
+            self.on_final_event.pop(request)(event)
 
-    def last(self, request: str) -> CallerEvent | None:
+    def final_event(self, request: str) -> CallerEvent | None:
         """Return the final event of a request, if it has one."""
         events = self.events[request]
         final = bool(events) and isinstance(events[-1], Done | Refused)
--- a/wisteriastair/standins/virtual_parts.py
+++ b/wisteriastair/standins/virtual_parts.py
@@ -70,10 +70,10 @@
 
 
 # Returns the extra delay in seconds of each copy of a message; empty if it is lost.
-Disturb = Callable[[str, str, Message], tuple[float, ...]]
+DeliveryDelays = Callable[[str, str, Message], tuple[float, ...]]
 
 
-def undisturbed(sender: str, to: str, message: Message) -> tuple[float, ...]:
+def no_extra_delays(sender: str, to: str, message: Message) -> tuple[float, ...]:
     """Deliver every message once and without extra delay."""
     return (0.0,)
 
@@ -130,7 +130,7 @@
         self.keys: dict[str, KvValue] = {}
         self.revision = 0
         self.up = True
-        self.lose_answers = 0
+        self.responses_to_drop = 0
         self.reads = 0
         self.writes = 0
 
@@ -151,7 +151,7 @@
             return KvConflict(swap.key)
         self.revision += 1
         self.keys[swap.key] = KvValue(swap.key, self.revision, swap.value)
-        if self.lose_answers > 0:
-            self.lose_answers -= 1
+        if self.responses_to_drop > 0:
+            self.responses_to_drop -= 1
             return KvUnknown(swap.key, True)
         return KvWritten(swap.key, self.revision, swap.value)
