--- a/tests/core/bench.py
+++ b/tests/core/bench.py
@@ -64,7 +64,7 @@
 
     def ask() -> None:
         for name in requested:
-            holder.ask(name, "program", "kind", False, 30.0)
+            holder.request_permit(name, "program", "kind", False, 30.0)
 
     return median_us(ask, len(requested))
 
--- a/tests/core/quota_world.py
+++ b/tests/core/quota_world.py
@@ -247,7 +247,7 @@
             return
         reply_delay_s = self.now - self._ops.pop(message.op) * STEP_S
         permit = message.permit
-        if permit.answer is not PermitStatus.GRANTED or reply_delay_s > 0.1 + STEP_S:
+        if permit.status is not PermitStatus.GRANTED or reply_delay_s > 0.1 + STEP_S:
             return
         arrival_at = (
             self.now + permit.wait_s + self._random.uniform(*PERMIT_USE_DELAY_S)
--- a/tests/core/test_chaos.py
+++ b/tests/core/test_chaos.py
@@ -40,7 +40,7 @@
 def refuse_without_tombstone(
     self: Gate, to: str, call: Any, retry_after_s: float, now: float
 ) -> None:
-    self._answer(to, self._result(call, "refused", "no", retry_after_s))
+    self._send_result(to, self._result(call, "refused", "no", retry_after_s))
 
 
 def never_release(self: Gate, programs: tuple[str, ...]) -> None:
--- a/tests/core/test_quota.py
+++ b/tests/core/test_quota.py
@@ -40,7 +40,10 @@
     holder: QuotaHolder, now: float, program: str, *, is_first: bool
 ) -> bool:
     kind = "talk" if is_first else ""
-    return holder.ask(NAME, program, kind, False, now).answer is PermitStatus.GRANTED
+    return (
+        holder.request_permit(NAME, program, kind, False, now).status
+        is PermitStatus.GRANTED
+    )
 
 
 def test_buckets_of_all_holders_add_up_to_the_quota() -> None:
@@ -73,13 +76,14 @@
 
 def test_only_holders_grant_permits() -> None:
     outsider = Member("other", "disk9", "other:1", "d9")
-    answer = make_holder(QUOTA, outsider).ask(NAME, "p", "", True, 50.0)
-    assert answer.answer is PermitStatus.NOT_HOLDER
-    assert make_holder(QUOTA).ask("unknown", "p", "", True, 50.0).answer is (
+    answer = make_holder(QUOTA, outsider).request_permit(NAME, "p", "", True, 50.0)
+    assert answer.status is PermitStatus.NOT_HOLDER
+    assert make_holder(QUOTA).request_permit("unknown", "p", "", True, 50.0).status is (
         PermitStatus.NOT_HOLDER
     )
     assert (
-        make_holder(None).ask(NAME, "p", "", True, 50.0).answer is PermitStatus.GRANTED
+        make_holder(None).request_permit(NAME, "p", "", True, 50.0).status
+        is PermitStatus.GRANTED
     )
 
 
@@ -106,8 +110,8 @@
     holder = QuotaHolder(MEMBERS[0], BOUNDS, MEMBERS[1:], 0.0)
     holder.configure({NAME: Customer(NAME, None, QUOTA)}, 0.0)
     holder.update_members(MEMBERS, 20.0)
-    early = holder.ask(NAME, "p", "", True, 20.0 + HANDOVER_S - 0.1)
-    assert early.answer is PermitStatus.NOT_HOLDER
+    early = holder.request_permit(NAME, "p", "", True, 20.0 + HANDOVER_S - 0.1)
+    assert early.status is PermitStatus.NOT_HOLDER
     assert is_granted(holder, 21.0 + HANDOVER_S, "p", is_first=False)
 
 
@@ -236,9 +240,9 @@
     """Buckets are full after a restart, or new holders start at once with full ones."""
 
     class FullBucketAccount(quota_module._CustomerAccount):
-        def __init__(self, bucket: HolderQuota, held_from: float, now: float) -> None:
-            super().__init__(bucket, held_from, now)
-            if broken == "forgets" or held_from > 0.0:
+        def __init__(self, bucket: HolderQuota, term_start: float, now: float) -> None:
+            super().__init__(bucket, term_start, now)
+            if broken == "forgets" or term_start > 0.0:
                 self.permits.level = bucket.depth
 
     monkeypatch.setattr(quota_module, "_CustomerAccount", FullBucketAccount)
--- a/wisteriastair/core/calls.py
+++ b/wisteriastair/core/calls.py
@@ -34,8 +34,8 @@
 LOOKUP_INTERVAL_S: Final = 1.0
 GATE_TIMEOUT_S: Final = 6.0
 NO_SERVER_RETRY_S: Final = 0.25
-RETRY_BASE_S: Final = 0.05
-MAX_RETRY_WAIT_S: Final = 5.0
+RETRY_DELAY_S: Final = 0.05
+MAX_RETRY_DELAY_S: Final = 5.0
 UNKNOWN_TOOL_TEXT: Final = "error: no such tool"
 
 
@@ -218,8 +218,8 @@
         self._dispatcher.record_result(run.program, result, self._programs.now)
         if result.status != "ok":
             run.avoid_server = result.server
-            requested_s = min(result.retry_after_s, MAX_RETRY_WAIT_S)
-            wait_s = max(requested_s, _retry_wait_s(result.call.attempt))
+            requested_s = min(result.retry_after_s, MAX_RETRY_DELAY_S)
+            wait_s = max(requested_s, _retry_delay_s(result.call.attempt))
             run.not_before = self._programs.now + wait_s
         else:
             run.avoid_server = ""
@@ -285,7 +285,7 @@
     def _append_lost(self, run: RunningProgram, call: CallIntended) -> None:
         if self._programs.may_append(run):
             run.avoid_server = call.server
-            run.not_before = self._programs.now + _retry_wait_s(call.attempt)
+            run.not_before = self._programs.now + _retry_delay_s(call.attempt)
             self._append_end(run, _lost_result(call))
 
     def _look_up_open_call(self, run: RunningProgram) -> None:
@@ -320,9 +320,9 @@
                 self._out.send(instance.address, LeaseRenew(server, tuple(names)))
 
 
-def _retry_wait_s(attempt: int) -> float:
+def _retry_delay_s(attempt: int) -> float:
     """Seconds before the next attempt; doubled each time to outlast short faults."""
-    return min(MAX_RETRY_WAIT_S, RETRY_BASE_S * 2.0**attempt)
+    return min(MAX_RETRY_DELAY_S, RETRY_DELAY_S * 2.0**attempt)
 
 
 def _id_of(call: CallIntended) -> CallId:
--- a/wisteriastair/core/dispatch.py
+++ b/wisteriastair/core/dispatch.py
@@ -18,6 +18,7 @@
 MAX_LOAD_AGE_S: Final = 10.0
 PREFIX_CHARS: Final = 256
 PREFERRED_SERVERS: Final = 2
+# Weight of a new sample in the moving averages of a server's speed.
 SPEED_WEIGHT: Final = 0.2
 MIN_MEASURED_SERVERS: Final = 3
 SLOW_FACTOR: Final = 2.0
--- a/wisteriastair/core/fleet.py
+++ b/wisteriastair/core/fleet.py
@@ -146,16 +146,18 @@
             self.mean_response_s = seconds
         self.mean_response_s += RESPONSE_TIME_WEIGHT * (seconds - self.mean_response_s)
 
-    def record_failure(self, now: float, max_failures: int = EJECTION_FAILURES) -> bool:
+    def record_failure(
+        self, now: float, ejection_failures: int = EJECTION_FAILURES
+    ) -> bool:
         """Record a failure; return whether it ejects the server.
 
         Parameters
         ----------
-        max_failures : int
+        ejection_failures : int
             Consecutive failures that eject the server.
         """
         self.failures += 1
-        if self.failures < max_failures:
+        if self.failures < ejection_failures:
             return False
         self.failures = 0
         self.ejected_until = now + self.ejection_s
--- a/wisteriastair/core/gate.py
+++ b/wisteriastair/core/gate.py
@@ -149,7 +149,7 @@
             self._report(known, 0, now)
             return
         if call.gate != self._me:
-            self._answer(sender, self._unknown_result(call.call))
+            self._send_result(sender, self._unknown_result(call.call))
             return
         retry_after_s = self._refusal_retry_s(call, now)
         if retry_after_s is not None:
@@ -183,7 +183,7 @@
         tombstone.result = self._result(call, "refused", "no", retry_after_s)
         self._calls[call] = tombstone
         self._ended.append((now, call))
-        self._answer(to, tombstone.result)
+        self._send_result(to, tombstone.result)
 
     def on_lookup(self, sender: str, lookup: GateLookup, now: float) -> None:
         """Report the state of a call; store a tombstone if it is unknown."""
@@ -194,13 +194,13 @@
             known.reply_to = sender
             self._report(known, lookup.offset, now)
         elif lookup.gate != self._me:
-            self._answer(sender, self._unknown_result(lookup.call))
+            self._send_result(sender, self._unknown_result(lookup.call))
         else:
             self._refuse(sender, lookup.call, 0.0, now)
 
     def _report(self, known: _CallState, offset: int, now: float) -> None:
         if known.result is not None:
-            self._answer(known.reply_to, known.result)
+            self._send_result(known.reply_to, known.result)
             return
         assert known.call is not None, "a call without a result was admitted"
         call = known.call.call
@@ -271,7 +271,7 @@
         known.state = _State.DONE
         self._ended.append((now, call))
         known.result = result._replace(load=self.load())
-        self._answer(known.reply_to, known.result)
+        self._send_result(known.reply_to, known.result)
 
     def _dispatch_queued(self, now: float) -> None:
         """Dispatch calls from the queue while the server has capacity."""
@@ -361,7 +361,7 @@
             call, self.server, status, ran, "", (), 0, 0, 0, retry_after_s, load
         )
 
-    def _answer(self, to: str, result: CallResult) -> None:
+    def _send_result(self, to: str, result: CallResult) -> None:
         if to:
             self._out.send(to, result)
 
--- a/wisteriastair/core/keeper.py
+++ b/wisteriastair/core/keeper.py
@@ -227,7 +227,7 @@
         """
         permit = Permit(PermitStatus.NOT_HOLDER)
         if self._reaches_majority(now):
-            permit = self.quota.ask(
+            permit = self.quota.request_permit(
                 request.customer,
                 request.program,
                 request.kind,
--- a/wisteriastair/core/membership.py
+++ b/wisteriastair/core/membership.py
@@ -107,8 +107,8 @@
     by_name = {member.name: member for member in members}
     order = [by_name[name] for name in rendezvous_order(f"slot {slot}", by_name)]
     chosen = spread_over_domains(order, 2 * max_failures + 1)
-    write = max_failures + 1
-    return ReplicaSet(chosen, write, max(1, len(chosen) - write + 1))
+    write_quorum = max_failures + 1
+    return ReplicaSet(chosen, write_quorum, max(1, len(chosen) - write_quorum + 1))
 
 
 def spread_over_domains(order: list[Member], count: int) -> tuple[Member, ...]:
--- a/wisteriastair/core/ordering.py
+++ b/wisteriastair/core/ordering.py
@@ -40,7 +40,7 @@
     """Oldest program first, within its priority."""
 
     def key(self, call: QueuedCall, now: float) -> tuple[float, ...]:
-        """Return the negated priority and the start of the program."""
+        """Return the negated priority and the start time of the program."""
         return (-call.priority, call.program_since)
 
 
--- a/wisteriastair/core/placement.py
+++ b/wisteriastair/core/placement.py
@@ -32,9 +32,9 @@
 from .replica import SlotRow
 
 SEGMENT_PREFIX: Final = "slots/"
-RETRY_S: Final = 0.05
-MAX_RETRY_S: Final = 2.0
-ANSWER_TIMEOUT_S: Final = 5.0
+RETRY_DELAY_S: Final = 0.05
+MAX_RETRY_DELAY_S: Final = 2.0
+RESPONSE_TIMEOUT_S: Final = 5.0
 
 _ROWS: Final = msgspec.msgpack.Decoder(list[SlotRow])
 
@@ -123,7 +123,7 @@
         for key, segment in self._segments.items():
             idle = now >= segment.busy_until and now >= segment.retry_at
             if segment.proposals and idle:
-                segment.busy_until = now + ANSWER_TIMEOUT_S
+                segment.busy_until = now + RESPONSE_TIMEOUT_S
                 effects.append(KvRead(key))
         return effects
 
@@ -153,9 +153,9 @@
                 changed = True
         if not changed:
             segment.busy_until = 0.0
-            segment.retry_at = now + RETRY_S
+            segment.retry_at = now + RETRY_DELAY_S
             return []
-        segment.busy_until = now + ANSWER_TIMEOUT_S
+        segment.busy_until = now + RESPONSE_TIMEOUT_S
         return [KvSwap(key, revision, encode_rows(rows))]
 
     def _back_off(self, key: str, now: float) -> None:
@@ -167,6 +167,6 @@
         segment = self._segments[key]
         segment.busy_until = 0.0
         segment.attempts += 1
-        delay = min(MAX_RETRY_S, RETRY_S * 2 ** min(segment.attempts, 10))
+        delay = min(MAX_RETRY_DELAY_S, RETRY_DELAY_S * 2 ** min(segment.attempts, 10))
         jitter = hash64(self._me, key, str(segment.attempts)) % 1000 / 1000
         segment.retry_at = now + delay * (0.5 + jitter)
--- a/wisteriastair/core/quota.py
+++ b/wisteriastair/core/quota.py
@@ -117,7 +117,7 @@
         Whether a new program is rejected, however soon its first request could run.
     """
 
-    answer: PermitStatus
+    status: PermitStatus
     wait_s: float = 0.0
     is_program_refused: bool = False
 
@@ -202,25 +202,25 @@
 class _CustomerAccount:
     """State of a customer at one of its holders."""
 
-    def __init__(self, bucket: HolderQuota, held_from: float, now: float) -> None:
-        held_s = max(0.0, now - held_from)
-        self.held_from = held_from
+    def __init__(self, bucket: HolderQuota, term_start: float, now: float) -> None:
+        term_s = max(0.0, now - term_start)
+        self.term_start = term_start
         self.list_number = -1
-        self.permits = _Bucket(min(bucket.depth, bucket.rate_per_s * held_s), now)
+        self.permits = _Bucket(min(bucket.depth, bucket.rate_per_s * term_s), now)
         self.admissions = _Bucket(self.permits.level, now)
         # Ordered by last request, most recent last.
         self.programs: OrderedDict[str, _ProgramUsage] = OrderedDict()
 
-    def resume(self, bucket: HolderQuota, held_from: float, now: float) -> None:
+    def resume(self, bucket: HolderQuota, term_start: float, now: float) -> None:
         """Start a new term after a gap in which others may have granted permits.
 
         Permits granted before the gap still count. Otherwise a member list that changes
         many times per second would fill the bucket each time.
         """
-        self.held_from = held_from
+        self.term_start = term_start
         self.permits.refill(bucket.rate_per_s, bucket.depth, now)
-        held_s = max(0.0, now - held_from)
-        self.permits.level = min(self.permits.level, bucket.rate_per_s * held_s)
+        term_s = max(0.0, now - term_start)
+        self.permits.level = min(self.permits.level, bucket.rate_per_s * term_s)
 
     def admit_program(
         self, program: str, kind: str, expected_requests: float, now: float
@@ -310,7 +310,7 @@
         del self._member_lists[:-MAX_MEMBER_LISTS]
         self._list_number += 1
 
-    def ask(
+    def request_permit(
         self, customer: str, program: str, kind: str, allow_delayed: bool, now: float
     ) -> Permit:
         """Grant or reject a permit for one request.
@@ -337,7 +337,7 @@
         account.admissions.refill(bucket.rate_per_s, bucket.depth, now)
         account.expire_programs(self._estimates, now)
         # A new holder cannot tell new programs from running ones.
-        knows_programs = now - account.held_from > PROGRAM_IDLE_S
+        knows_programs = now - account.term_start > PROGRAM_IDLE_S
         is_new = knows_programs and bool(kind) and program not in account.programs
         if (is_new or not program) and account.admissions.level <= 0:
             return Permit(
@@ -364,34 +364,34 @@
         account = self._accounts.get(customer)
         if account is not None and account.list_number == self._list_number:
             return account
-        held_from = self._held_since(customer, bucket.holders)
-        if held_from is None or held_from > now:
+        term_start = self._term_start(customer, bucket.holders)
+        if term_start is None or term_start > now:
             return None
         if account is None:
             account = self._accounts[customer] = _CustomerAccount(
-                bucket, held_from, now
+                bucket, term_start, now
             )
-        elif held_from > account.held_from:
-            account.resume(bucket, held_from, now)
+        elif term_start > account.term_start:
+            account.resume(bucket, term_start, now)
         account.list_number = self._list_number
         return account
 
-    def _held_since(self, customer: str, count: int) -> float | None:
+    def _term_start(self, customer: str, count: int) -> float | None:
         """Return the start of this member's current term as a holder, or None.
 
         A gap too short for another member to act as a holder is ignored. If several
         members drop out of the list and come back one by one, all holders of a customer
         would otherwise wait for each other.
         """
-        held_from: float | None = None
+        term_start: float | None = None
         resumed_at = 0.0
         for index in reversed(range(len(self._member_lists))):
             members, known_at = self._member_lists[index]
             if self._me in quota_holders(members, customer, count):
-                held_from = known_at + (HANDOVER_S if index else 0.0)
+                term_start = known_at + (HANDOVER_S if index else 0.0)
                 resumed_at = known_at
-            elif held_from is None or resumed_at - known_at > MAX_GAP_S:
+            elif term_start is None or resumed_at - known_at > MAX_GAP_S:
                 break
-        if held_from is None:
+        if term_start is None:
             return None
-        return max(held_from, self._handover_until.get(customer, held_from))
+        return max(term_start, self._handover_until.get(customer, term_start))
--- a/wisteriastair/core/running.py
+++ b/wisteriastair/core/running.py
@@ -184,6 +184,6 @@
         del self.by_name[name]
 
     def service(self, run: RunningProgram) -> Service:
-        """Return the service of a program as configured, or as at its start."""
+        """Return a program's service: the configured one, else that at its start."""
         definition = run.program.start.definition
         return self.config.services.get(definition.name, definition)
--- a/wisteriastair/core/stopping.py
+++ b/wisteriastair/core/stopping.py
@@ -16,7 +16,7 @@
 # Seconds left free before the kill at the end of the grace period.
 KILL_MARGIN_S: Final = 0.7
 # Seconds within which a timed-out request still gets its final response.
-FINAL_ANSWER_S: Final = 0.1
+FINAL_RESPONSE_S: Final = 0.1
 
 
 class Shutdown(NamedTuple):
@@ -58,4 +58,4 @@
         max_timeout_s : float
             Longest timeout of a request in seconds.
         """
-        return max(self.rerouted_at, self.ends_at - FINAL_ANSWER_S - max_timeout_s)
+        return max(self.rerouted_at, self.ends_at - FINAL_RESPONSE_S - max_timeout_s)
--- a/wisteriastair/relay/ledger.py
+++ b/wisteriastair/relay/ledger.py
@@ -47,7 +47,7 @@
 # requests queue, and resends only lengthen the queue.
 RESEND_LATENCY_FACTOR: Final = 4.0
 # Weight of a new sample in the moving average of the latency.
-LATENCY_GAIN: Final = 0.1
+LATENCY_WEIGHT: Final = 0.1
 # Requests that were sent more often than this are not sampled.
 MAX_SAMPLED_SENDS: Final = 2
 # Upper limit of a sample, so that a resend happens while the request still has time.
@@ -407,7 +407,7 @@
         """
         if sends <= MAX_SAMPLED_SENDS:
             sample_s = min(seconds, MAX_LATENCY_SAMPLE_S)
-            self._mean_latency_s += LATENCY_GAIN * (sample_s - self._mean_latency_s)
+            self._mean_latency_s += LATENCY_WEIGHT * (sample_s - self._mean_latency_s)
 
     def _first_targets(
         self, request: QuorumRequest, sets: tuple[ReplicaSet, ...]
--- a/wisteriastair/relay/plain.py
+++ b/wisteriastair/relay/plain.py
@@ -18,7 +18,7 @@
 from .job import Job
 
 # Responses are buffered in memory while they are read.
-MAX_ANSWER_BYTES: Final = 8 * 1024 * 1024
+MAX_RESPONSE_BYTES: Final = 8 * 1024 * 1024
 # Maximum number of servers that may refuse or fail one request.
 MAX_REFUSALS: Final = 3
 # Delay before a retry if the servers are full or the configuration is missing.
@@ -121,7 +121,7 @@
     if not isinstance(outcome, ResponseStarted):
         return outcome
     server_id = outcome.state.server.id
-    body = await read_body(outcome.exchange, MAX_ANSWER_BYTES)
+    body = await read_body(outcome.exchange, MAX_RESPONSE_BYTES)
     if isinstance(body, str):
         return OutcomeUnknown(server_id, body)
     head = outcome.head
--- a/wisteriastair/relay/quota.py
+++ b/wisteriastair/relay/quota.py
@@ -32,13 +32,13 @@
 )
 from ..peers.transport import Transport
 
-# Time limit of a holder's answer; holders usually answer within a few milliseconds.
-ANSWER_TIMEOUT_S: Final = 0.1
-# A holder that did not answer is asked after the others for this long.
+# Timeout of a holder's reply; holders usually reply within a few milliseconds.
+REPLY_TIMEOUT_S: Final = 0.1
+# A holder that did not reply is asked after the others for this long.
 SUSPECT_DURATION_S: Final = 2.0
-# A permit older than this is requested again.  It must reach the server within
-# `PERMIT_LIFETIME_S`
-# of the request for it; the rest of that time is for the way to the server.
+# A permit older than this is requested again.  The caller's request must reach the
+# server within `PERMIT_LIFETIME_S` of the permit request; the rest of that time is for
+# the transfer to the server.
 MAX_PERMIT_AGE_S: Final = 0.7 * PERMIT_LIFETIME_S
 # Pause before all holders are asked once more.
 RETRY_INTERVAL_S: Final = 0.05
@@ -151,7 +151,7 @@
             pending.replied.set()
 
     def cancel(self, pending: PendingPermit) -> None:
-        """Stop waiting for the answer to a permit request."""
+        """Stop waiting for the reply to a permit request."""
         self._pending.pop(pending.op, None)
 
     async def wait_for_permit(
@@ -190,36 +190,39 @@
             order = [pending.holder, *(m for m in order if m != pending.holder)]
         exhausted: list[tuple[Permit, Member]] = []
         for member in order:
-            permit = await self._await_answer(pending, member, deadline)
+            permit = await self._await_permit(pending, member, deadline)
             if permit is None:
                 continue
-            if permit.answer is PermitStatus.GRANTED:
+            if permit.status is PermitStatus.GRANTED:
                 return None
-            if permit.answer is PermitStatus.EXHAUSTED:
+            if permit.status is PermitStatus.EXHAUSTED:
                 exhausted.append((permit, member))
         if not exhausted:
             pending.holder = None
             return HoldersUnreachable(len(order), self._view().number)
-        shortest, soonest = min(exhausted, key=lambda one: one[0].wait_s)
-        if shortest.wait_s <= MAX_ADVANCE_S and not shortest.is_program_refused:
+        earliest_permit, earliest_member = min(exhausted, key=lambda one: one[0].wait_s)
+        if (
+            earliest_permit.wait_s <= MAX_ADVANCE_S
+            and not earliest_permit.is_program_refused
+        ):
             # No holder has a permit now, so request the next one that becomes free.
             pending.allow_delayed = True
-            permit = await self._await_answer(pending, soonest, deadline)
-            if permit is not None and permit.answer is PermitStatus.GRANTED:
+            permit = await self._await_permit(pending, earliest_member, deadline)
+            if permit is not None and permit.status is PermitStatus.GRANTED:
                 return None
-        retry_after_s = shortest.wait_s * random.uniform(1.0, MAX_RETRY_JITTER)
+        retry_after_s = earliest_permit.wait_s * random.uniform(1.0, MAX_RETRY_JITTER)
         return OverQuota(max(MIN_RETRY_AFTER_S, retry_after_s))
 
-    async def _await_answer(
+    async def _await_permit(
         self, pending: PendingPermit, member: Member, deadline: float
     ) -> Permit | None:
-        """Return a holder's answer, if any; for a permit, wait until it is valid."""
+        """Return a holder's reply, if any; for a permit, wait until it is valid."""
         loop = asyncio.get_running_loop()
         is_stale = boot_clock() - pending.sent_at > MAX_PERMIT_AGE_S
         if pending.holder != member or pending.allow_delayed or is_stale:
             self._send(pending, member)
         with anyio.move_on_after(
-            max(0.0, min(ANSWER_TIMEOUT_S, deadline - loop.time()))
+            max(0.0, min(REPLY_TIMEOUT_S, deadline - loop.time()))
         ):
             await pending.replied.wait()
         permit = pending.permit
@@ -227,7 +230,7 @@
         if permit is None:
             self._suspect(member, loop.time())
             return None
-        if permit.answer is PermitStatus.GRANTED and permit.wait_s > 0:
+        if permit.status is PermitStatus.GRANTED and permit.wait_s > 0:
             await anyio.sleep(permit.wait_s)
         return permit
 
--- a/wisteriastair/relay/streams.py
+++ b/wisteriastair/relay/streams.py
@@ -31,8 +31,8 @@
     TurnNotFound,
 )
 from .plain import (
-    MAX_ANSWER_BYTES,
     MAX_REFUSALS,
+    MAX_RESPONSE_BYTES,
     NOT_RUN_STATUSES,
     RETRY_AFTER_S,
     SUCCESS_STATUSES,
@@ -241,7 +241,7 @@
         self, turn: _TurnState, started: ResponseStarted
     ) -> NotRun | OutcomeUnknown | None:
         job = turn.job
-        body = await read_body(started.exchange, MAX_ANSWER_BYTES)
+        body = await read_body(started.exchange, MAX_RESPONSE_BYTES)
         status = started.head.status
         if isinstance(body, str) or status in NOT_RUN_STATUSES or turn.response_started:
             return OutcomeUnknown(started.state.server.id, f"status {status}")
--- a/wisteriastair/standins/faults.py
+++ b/wisteriastair/standins/faults.py
@@ -34,7 +34,7 @@
 
 CALL_TIMEOUT_S: Final = 60.0
 # Callers retry for this long.
-MAX_RETRY_S: Final = 120.0
+RETRY_PERIOD_S: Final = 120.0
 # Wait before the check, so that unused cache leases have been released.
 LEASE_EXPIRY_S: Final = 30.0
 BUDGET_TOKENS: Final = 40_000
@@ -126,7 +126,7 @@
         outcome = _ProgramOutcome(key, prompt, key)
         self.outcomes.append(outcome)
         body = {"service": service, "prompt": prompt}
-        deadline = time.monotonic() + MAX_RETRY_S
+        deadline = time.monotonic() + RETRY_PERIOD_S
         async with httpx.AsyncClient(timeout=CALL_TIMEOUT_S) as http:
             while time.monotonic() < deadline:
                 wait_s = await self._send_request(http, outcome, body)
--- a/wisteriastair/standins/virtual_time.py
+++ b/wisteriastair/standins/virtual_time.py
@@ -33,9 +33,9 @@
         """Advance virtual time."""
         self.run_until(lambda: False, seconds)
 
-    def run_until(self, condition: Callable[[], bool], limit_s: float) -> bool:
-        """Advance until a condition holds; return False if the limit comes first."""
-        end_s = self.now + limit_s
+    def run_until(self, condition: Callable[[], bool], timeout_s: float) -> bool:
+        """Advance until a condition holds; return False after the timeout."""
+        end_s = self.now + timeout_s
         while self._queue and self._queue[0][0] <= end_s:
             if condition():
                 return True
