--- a/tests/core/test_quota.py
+++ b/tests/core/test_quota.py
@@ -76,8 +76,8 @@
 
 def test_only_holders_grant_permits() -> None:
     outsider = Member("other", "disk9", "other:1", "d9")
-    answer = make_holder(QUOTA, outsider).request_permit(NAME, "p", "", True, 50.0)
-    assert answer.status is PermitStatus.NOT_HOLDER
+    permit = make_holder(QUOTA, outsider).request_permit(NAME, "p", "", True, 50.0)
+    assert permit.status is PermitStatus.NOT_HOLDER
     assert make_holder(QUOTA).request_permit("unknown", "p", "", True, 50.0).status is (
         PermitStatus.NOT_HOLDER
     )
--- a/tests/operators/test_losses.py
+++ b/tests/operators/test_losses.py
@@ -20,8 +20,8 @@
     run_losses,
 )
 from wisteriastair.operators.losstables import (
-    MAX_CUSTOMERS,
-    MAX_PROGRAMS,
+    MAX_CUSTOMER_ROWS,
+    MAX_PROGRAM_ROWS,
     encode_json,
     format_text,
 )
@@ -109,7 +109,7 @@
 def test_output_lists_some_programs_and_counts_the_rest() -> None:
     raw_lines = [request_line(100.0 + n, 500, program=f"p{n}") for n in range(30)]
     output = format_text(count_lines(raw_lines))
-    assert f"and {30 - MAX_PROGRAMS} later ones" in output
+    assert f"and {30 - MAX_PROGRAM_ROWS} later ones" in output
     assert len(json.loads(encode_json(count_lines(raw_lines)))["programs"]) == 30
 
 
@@ -186,7 +186,7 @@
 
 def test_customers_with_most_losses_come_first() -> None:
     """The customer with the highest fraction of lost requests comes first."""
-    raw_lines = [request_line(customer=f"c{n}") for n in range(MAX_CUSTOMERS + 1)]
+    raw_lines = [request_line(customer=f"c{n}") for n in range(MAX_CUSTOMER_ROWS + 1)]
     raw_lines += [request_line(status=429, sent=False, customer="worst")] * 2
     raw_lines.append(request_line(customer="worst"))
     stats = count_lines(raw_lines)
--- a/wisteriastair/core/calls.py
+++ b/wisteriastair/core/calls.py
@@ -211,7 +211,7 @@
         self._find_open_call(message.call)
 
     def on_result(self, result: CallResult) -> None:
-        """Append the end of a call."""
+        """Append the outcome of a call to the log of its program."""
         run = self._find_open_call(result.call)
         if run is None or not self._programs.may_append(run):
             return
--- a/wisteriastair/core/fleet.py
+++ b/wisteriastair/core/fleet.py
@@ -28,8 +28,8 @@
 EJECTION_S: Final = 1.0
 # In a service of at least this size, one failure ejects a server. Each process sends a
 # server few requests, so three consecutive failures would take seconds, during which a
-# server that fails at once looks idle. One needlessly ejected server of a dozen is not
-# missed.
+# server that fails at once looks idle. To eject one healthy server of a dozen by
+# mistake costs little capacity.
 MIN_SERVERS_FAST_EJECTION: Final = 12
 MAX_EJECTION_S: Final = 8.0
 # Time allowed for entries to come back after an outage of the store, in seconds. They
@@ -178,7 +178,7 @@
     Parameters
     ----------
     drain_s : float
-        Seconds for which a server still serves after it has left.
+        Seconds for which a server still serves after its removal from the store.
     """
 
     def __init__(self, drain_s: float = 2.0) -> None:
--- a/wisteriastair/core/keeper.py
+++ b/wisteriastair/core/keeper.py
@@ -413,7 +413,7 @@
         if disk == self.me.disk:
             return False
         # A member that has just been added to the view gets time to send a heartbeat:
-        # otherwise two members that disagree would add and remove it in alternation.
+        # otherwise two members that disagree would add and remove it repeatedly.
         last_heartbeat = self._heartbeat_at.get(disk, self._started_at)
         since = max(last_heartbeat, self._added_at.get(disk, self._started_at))
         has_departed = disk in self._stopping_disks or self._has_successor(since, now)
--- a/wisteriastair/core/membership.py
+++ b/wisteriastair/core/membership.py
@@ -228,11 +228,11 @@
     names = {m.name for m in live}
     unresponsive = [m for m in view.members if m.name not in names]
     # Listed members come first, so that all members agree on the ones that are added.
-    fill = sorted(retiring, key=lambda m: (m.name not in listed, m)) + sorted(
-        unresponsive
-    )
+    fallback_members = sorted(
+        retiring, key=lambda m: (m.name not in listed, m)
+    ) + sorted(unresponsive)
     missing = max_failures + 1 - len(target)
-    return tuple(sorted((*target, *fill[: max(0, missing)])))
+    return tuple(sorted((*target, *fallback_members[: max(0, missing)])))
 
 
 def _reaches_majority(view: View, observation: MembershipObservation) -> bool:
@@ -250,17 +250,17 @@
     copies are in different domains, and replicas in `domain` come first among these.
     Suspects are selected only if there is no other replica left.
     """
-    left = sort_local_first(replicas.members, domain)
-    left.sort(key=lambda member: member.disk in suspects)
+    remaining = sort_local_first(replicas.members, domain)
+    remaining.sort(key=lambda member: member.disk in suspects)
     chosen: list[Member] = []
-    while left and len(chosen) < count:
+    while remaining and len(chosen) < count:
         domains = {member.domain for member in chosen}
         in_new_domains = [
-            m for m in left if m.domain not in domains and m.disk not in suspects
+            m for m in remaining if m.domain not in domains and m.disk not in suspects
         ]
-        member = (in_new_domains or left)[0]
+        member = (in_new_domains or remaining)[0]
         chosen.append(member)
-        left.remove(member)
+        remaining.remove(member)
     return chosen
 
 
--- a/wisteriastair/core/placement.py
+++ b/wisteriastair/core/placement.py
@@ -121,8 +121,8 @@
         """Start a read for every segment with proposals."""
         effects: list[Effect] = []
         for key, segment in self._segments.items():
-            idle = now >= segment.busy_until and now >= segment.retry_at
-            if segment.proposals and idle:
+            is_idle = now >= segment.busy_until and now >= segment.retry_at
+            if segment.proposals and is_idle:
                 segment.busy_until = now + RESPONSE_TIMEOUT_S
                 effects.append(KvRead(key))
         return effects
--- a/wisteriastair/core/quota.py
+++ b/wisteriastair/core/quota.py
@@ -255,7 +255,7 @@
 
 
 class QuotaHolder:
-    """Grants permits for the customers whose quota holder this member is.
+    """Grants permits to the customers that have this member as a quota holder.
 
     Parameters
     ----------
@@ -295,7 +295,7 @@
                 continue
             buckets = [holder_quota(c.quota, self._bounds) for c in (before, customer)]
             if buckets[0].holders != buckets[1].holders:
-                # An added holder must not grant again what the others have granted.
+                # An added holder must not grant again the permits that others granted.
                 self._handover_until[name] = now + HANDOVER_S
                 self._list_number += 1
         self._customers = customers
--- a/wisteriastair/core/slots.py
+++ b/wisteriastair/core/slots.py
@@ -315,10 +315,10 @@
             slot.standby_sent = replica.standby_acked
             if slot.learner_sent >= 0:
                 slot.learner_sent = replica.learner_acked
-            behind = (
+            is_behind = (
                 replica.standby_acked < replica.last or replica.learner != NO_MEMBER
             )
-            if behind:
+            if is_behind:
                 self._dirty.add(replica.slot)
         if replica.learner != NO_MEMBER:
             self._watch_learner(slot, now)
--- a/wisteriastair/core/wire.py
+++ b/wisteriastair/core/wire.py
@@ -323,9 +323,9 @@
 
 
 class ProgramOutcome(NamedTuple):
-    """The final answer to a request.
+    """Final outcome of a request.
 
-    ``status`` is ``done`` for a whole answer; other values are error codes of
+    ``status`` is ``done`` for a complete answer; other values are error codes of
     `wisteriastair.errors`.  A ``retry_after_s`` of 0 means that a retry is useless.
     """
 
--- a/wisteriastair/keeper/log.py
+++ b/wisteriastair/keeper/log.py
@@ -106,18 +106,18 @@
         numbers = self._segment_numbers()
         for number in numbers:
             segment = Segment(number, now)
-            records, cut = self._read_segment(number)
-            if cut > 0 and number == numbers[-1]:
-                self._truncate(number, cut)
+            records, tail_bytes = self._read_segment(number)
+            if tail_bytes > 0 and number == numbers[-1]:
+                self._truncate(number, tail_bytes)
             for record in records:
                 if isinstance(record, _EntryRecord):
                     entries.append(record.entry)
                     segment.programs.add(record.entry.program)
                 elif record.view.number >= view.number:
                     view = record.view
-            cut_bytes += cut
+            cut_bytes += tail_bytes
             # Only the newest segment can end in records that were never synced.
-            damaged = damaged or (cut > 0 and number != numbers[-1])
+            damaged = damaged or (tail_bytes > 0 and number != numbers[-1])
             self._segments.append(segment)
         self._load_disk_id(renew=damaged)
         self._start_segment(now)
@@ -191,10 +191,10 @@
             position = end
         return records, len(data) - position
 
-    def _truncate(self, number: int, cut: int) -> None:
+    def _truncate(self, number: int, tail_bytes: int) -> None:
         """Truncate a torn end, which the next start would otherwise count as damage."""
         fd = os.open(self._path(number), os.O_WRONLY)
-        os.ftruncate(fd, os.fstat(fd).st_size - cut)
+        os.ftruncate(fd, os.fstat(fd).st_size - tail_bytes)
         os.fsync(fd)
         os.close(fd)
 
--- a/wisteriastair/metrics.py
+++ b/wisteriastair/metrics.py
@@ -141,5 +141,5 @@
 
 
 def entry_metrics_route(core: EntryCore, counters: TransportCounters) -> Route:
-    """Make the route that answers scrapes of an entry."""
+    """Create the HTTP route that serves the metrics of an entry."""
     return metrics_route(_EntryCollector(core, counters))
--- a/wisteriastair/nodemetrics.py
+++ b/wisteriastair/nodemetrics.py
@@ -159,7 +159,7 @@
         caller_conn.respond(bad.status, [], bad.reason.encode())
 
     async def handle(self, req: Request, caller_conn: CallerConnection) -> None:
-        """Answer a scrape."""
+        """Respond to a request for the metrics."""
         if req.path != METRICS_PATH:
             caller_conn.respond(404, [], b"")
             return
--- a/wisteriastair/operators/losstables.py
+++ b/wisteriastair/operators/losstables.py
@@ -13,9 +13,9 @@
 from .losscount import LossStats, RequestGroup
 from .tables import Cell, Table, format_table
 
-# Rows of the text tables by program and by customer; the JSON output has all rows.
-MAX_PROGRAMS: Final = 20
-MAX_CUSTOMERS: Final = 20
+# Maximum numbers of rows in the text tables; the JSON output has all rows.
+MAX_PROGRAM_ROWS: Final = 20
+MAX_CUSTOMER_ROWS: Final = 20
 PERCENT: Final = 100.0
 OUTCOMES: Final = tuple(Outcome)
 OUTCOME_COLUMNS: Final = ("requests", *(outcome.value for outcome in OUTCOMES))
@@ -208,9 +208,9 @@
 
 def _format_customers(stats: LossStats) -> str:
     customers = _sort_customers(stats)
-    output = _format_outcomes("customer", customers[:MAX_CUSTOMERS])
-    if len(customers) > MAX_CUSTOMERS:
-        omitted = len(customers) - MAX_CUSTOMERS
+    output = _format_outcomes("customer", customers[:MAX_CUSTOMER_ROWS])
+    if len(customers) > MAX_CUSTOMER_ROWS:
+        omitted = len(customers) - MAX_CUSTOMER_ROWS
         output += f"\nand {omitted} that lost a smaller share (--json has all)"
     return output
 
@@ -240,7 +240,7 @@
     ]
     summary.append(("total", "", len(programs)))
     rows: list[tuple[Cell, ...]] = []
-    for name, group in programs[:MAX_PROGRAMS]:
+    for name, group in programs[:MAX_PROGRAM_ROWS]:
         first = group.first
         lost = group.counts.total()
         offset = _format_offset(group, start_s)
@@ -252,9 +252,9 @@
         _format_rows(("first loss", "why", "programs"), summary),
         _format_rows(columns, rows),
     ]
-    if len(programs) > MAX_PROGRAMS:
+    if len(programs) > MAX_PROGRAM_ROWS:
         output[-1] += (
-            f"\nand {len(programs) - MAX_PROGRAMS} later ones (--json has all)"
+            f"\nand {len(programs) - MAX_PROGRAM_ROWS} later ones (--json has all)"
         )
     return "\n\n".join(output)
 
--- a/wisteriastair/peers/transport.py
+++ b/wisteriastair/peers/transport.py
@@ -291,7 +291,7 @@
                 self._failure.set_exception(exc)
 
     def _decode_messages(self, frame: Frame) -> list[MessageT]:
-        """Decode the messages of a frame, without those that do not decode.
+        """Decode the messages of a frame; skip those that cannot be decoded.
 
         A peer of a newer version may send unknown types of messages.  If these made the
         whole frame unreadable, writes would be lost as long as versions are mixed.
--- a/wisteriastair/relay/events.py
+++ b/wisteriastair/relay/events.py
@@ -1,7 +1,7 @@
 """Splitting a byte stream into server-sent events as it arrives.
 
-Only whole events are forwarded: a server may fail in the middle of one, and a stream
-that resumes on another server begins with the event after the last whole one.
+Only complete events are forwarded: a server may fail in the middle of one, and a stream
+that resumes on another server begins with the event after the last complete one.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     count : int
         Whole events so far.
     last_id : str
-        Id of the last whole event.
+        Id of the last complete event.
     content : bytearray
         Collected data of the events, each followed by a line feed.
     partial : bytes
@@ -39,15 +39,15 @@
         self._collect = collect
 
     def feed(self, data: bytes) -> bytes:
-        """Add bytes and return the events that are now whole, unchanged."""
+        """Add bytes and return the events that are now complete, unchanged."""
         data = self.partial + data
         end = max(_end_of_last(data, terminator) for terminator in EVENT_TERMINATORS)
         self.partial = data[end:]
-        whole = data[:end]
-        for event in whole.replace(b"\r\n", b"\n").split(b"\n\n"):
+        complete_events = data[:end]
+        for event in complete_events.replace(b"\r\n", b"\n").split(b"\n\n"):
             if event.strip(b"\n"):
                 self._add_event(event)
-        return whole
+        return complete_events
 
     def _add_event(self, event: bytes) -> None:
         self.count += 1
--- a/wisteriastair/relay/streams.py
+++ b/wisteriastair/relay/streams.py
@@ -41,8 +41,8 @@
 
 # Longest wait for a reservation; after it the caller is told to retry later.
 RESERVE_TIMEOUT_S: Final = 0.6
-# Longest wait for a whole turn to become durable.  The caller has all events by then;
-# a failure lets it start the turn again while it has time.
+# Longest wait for a complete turn to become durable.  The caller has all events by
+# then; a failure lets it start the turn again while it has time.
 SETTLE_TIMEOUT_S: Final = 1.0
 # Number of times that one stream may be resumed.
 MAX_RESUMES: Final = 2
@@ -138,7 +138,7 @@
                 return Failure(Code.LEDGER_UNREACHABLE, detail, "no", RETRY_AFTER_S)
 
     async def _settle(self, turn: _TurnState) -> Failure | None:
-        """Make a whole turn durable, before its end is sent to the caller."""
+        """Make a complete turn durable, before its end is sent to the caller."""
         job, reservation = turn.job, turn.reservation
         if reservation is None:
             return None
@@ -319,12 +319,12 @@
         self.job.caller_conn.begin(ResponseHead(head.status, response_headers(head)))
 
     def forward(self, head: ResponseHead, data: bytes) -> None:
-        """Forward the events that are now whole to the caller."""
-        whole = self.events.feed(data)
-        if not whole:
+        """Forward the events that are now complete to the caller."""
+        complete_events = self.events.feed(data)
+        if not complete_events:
             return
         self.start_response(head)
-        self.job.caller_conn.send(whole)
+        self.job.caller_conn.send(complete_events)
         self.job.event_count = self.events.count
 
     def sent_tokens(self) -> int:
--- a/wisteriastair/standins/measure.py
+++ b/wisteriastair/standins/measure.py
@@ -36,7 +36,7 @@
 
 MEASURE_PERIOD_S: Final = 10.0
 SETTLE_CHECK_S: Final = 6.0
-SETTLE_TRIES: Final = 20
+MAX_SETTLE_CHECKS: Final = 20
 FIRST_TOKEN_PAIRS: Final = 60
 TURNS: Final = 65
 WORKERS: Final = 40
@@ -92,7 +92,7 @@
 def _wait_settled(deployment: Deployment) -> None:
     """Wait until the number of writes stays the same for ``SETTLE_CHECK_S``."""
     previous_writes = -1
-    for _ in range(SETTLE_TRIES):
+    for _ in range(MAX_SETTLE_CHECKS):
         writes = deployment.records(deployment.platform_url)["counts"]["writes"]
         if writes == previous_writes:
             return
