--- a/tests/core/test_watchers.py
+++ b/tests/core/test_watchers.py
@@ -6,9 +6,9 @@
 from wisteriastair.core.membership import Member, View
 from wisteriastair.core.watchers import (
     CHANGE_GRACE_S,
-    LEASE_S,
     MEMBERS_STABLE_S,
-    RENEW_S,
+    RENEWAL_INTERVAL_S,
+    SUBSCRIPTION_LEASE_S,
     Subscribers,
     Subscription,
     make_subscription,
@@ -72,7 +72,7 @@
     other = next(a for a in selected if a != first)
     own_subscription.on_update(first, update_of(5), 0.1)
     own_subscription.on_update(other, update_of(5), 0.1)
-    assert source(RENEW_S) == first
+    assert source(RENEWAL_INTERVAL_S) == first
     validity_s = make_watch_times(BOUND_S).validity_s
     own_subscription.on_update(other, update_of(5), 0.1 + validity_s)
     assert source(0.2 + validity_s) == other
@@ -134,10 +134,11 @@
         "a:1#1": store_update,
         "b:1#1": store_update,
     }
-    assert [to for to, _ in subscribers.make_updates(store_update, LEASE_S + 0.5)] == [
-        "b:1#1"
-    ]
-    assert subscribers.make_updates(store_update, LEASE_S + 1.5) == []
+    assert [
+        to
+        for to, _ in subscribers.make_updates(store_update, SUBSCRIPTION_LEASE_S + 0.5)
+    ] == ["b:1#1"]
+    assert subscribers.make_updates(store_update, SUBSCRIPTION_LEASE_S + 1.5) == []
 
 
 def test_coverage_continues_while_watchers_change() -> None:
--- a/wisteriastair/core/affinity.py
+++ b/wisteriastair/core/affinity.py
@@ -95,7 +95,10 @@
         return affinity_servers
 
     def _update_servers(self, servers: list[ServerState]) -> None:
-        """Clear the cache if the servers differ; an identical list has not changed."""
+        """Store a new list of servers; clear the cache if the ids differ.
+
+        Not called for the same list object, which is assumed to be unchanged.
+        """
         self._servers = servers
         ids = [state.server.id for state in servers]
         if ids != self._ids:
--- a/wisteriastair/core/events.py
+++ b/wisteriastair/core/events.py
@@ -63,7 +63,7 @@
 
 
 class KvUnknown(NamedTuple):
-    """No answer: a read failed, or a write may have taken effect."""
+    """No response: a read failed, or a write may have taken effect."""
 
     key: str
     wrote: bool
--- a/wisteriastair/core/gate.py
+++ b/wisteriastair/core/gate.py
@@ -37,7 +37,7 @@
 
 OUTCOME_RETENTION_S: Final = 600.0
 MAX_CALL_AGE_S: Final = 120.0
-LEASE_S: Final = 15.0
+CACHE_LEASE_S: Final = 15.0
 MIN_RETRY_AFTER_S: Final = 0.5
 
 
@@ -178,7 +178,7 @@
         return max(MIN_RETRY_AFTER_S, len(self._queue) / self._limits.max_running)
 
     def _refuse(self, to: str, call: CallId, retry_after_s: float, now: float) -> None:
-        """Answer "not run" and store a tombstone, so that the call never runs."""
+        """Report "not run" and store a tombstone, so that the call never runs."""
         tombstone = _CallState(None, to, now)
         tombstone.result = self._result(call, "refused", "no", retry_after_s)
         self._calls[call] = tombstone
@@ -288,7 +288,7 @@
             known.state = _State.RUNNING
             known.state_since = now
             if known.call.kind == "model":
-                self._leases[call.program] = now + LEASE_S
+                self._leases[call.program] = now + CACHE_LEASE_S
             self._out.add(BackendCall(known.call))
 
     def _sort_key(self, call: CallId, now: float) -> tuple[float, ...]:
@@ -305,7 +305,7 @@
         """Renew the cache leases of live programs."""
         for program in programs:
             if program in self._leases:
-                self._leases[program] = now + LEASE_S
+                self._leases[program] = now + CACHE_LEASE_S
 
     def release(self, programs: tuple[str, ...]) -> None:
         """End the cache leases of programs and release their cache."""
--- a/wisteriastair/core/running.py
+++ b/wisteriastair/core/running.py
@@ -158,7 +158,7 @@
         return len(self.live)
 
     def bind(self, slots: Slots) -> None:
-        """Set the slots, which depend on this object themselves."""
+        """Set the slots, which are created later since they need this object."""
         self._slots = slots
 
     def may_append(self, run: RunningProgram) -> bool:
--- a/wisteriastair/core/watchers.py
+++ b/wisteriastair/core/watchers.py
@@ -42,8 +42,8 @@
 MEMBERS_STABLE_S: Final = 2.0
 # Interval at which subscriptions are renewed and their lease, in seconds. The lease
 # covers several renewals, so that one lost message has no effect.
-RENEW_S: Final = 1.0
-LEASE_S: Final = 4.0
+RENEWAL_INTERVAL_S: Final = 1.0
+SUBSCRIPTION_LEASE_S: Final = 4.0
 NEVER: Final = -math.inf
 
 
@@ -148,7 +148,7 @@
         if source == self._source and now < self._renew_at:
             return []
         self._source = source
-        self._renew_at = now + RENEW_S
+        self._renew_at = now + RENEWAL_INTERVAL_S
         others = [address for address in self._watchers if address != self._me]
         return [(address, Subscribe(address == source)) for address in others]
 
@@ -238,7 +238,7 @@
     def add(self, sender: str, request: Subscribe, now: float) -> bool:
         """Add or renew a subscription; return whether it is new."""
         is_new = sender not in self._expires_at
-        self._expires_at[sender] = now + LEASE_S
+        self._expires_at[sender] = now + SUBSCRIPTION_LEASE_S
         self._wants_values[sender] = request.with_values
         return is_new
 
--- a/wisteriastair/core/wire.py
+++ b/wisteriastair/core/wire.py
@@ -260,7 +260,7 @@
 
 
 class CallPending(NamedTuple):
-    """The call is queued or running; sent in answer to a look-up."""
+    """The call is queued or running; sent in reply to a look-up."""
 
     call: CallId
     server: str
@@ -341,7 +341,7 @@
 
 
 class ProgramPending(NamedTuple):
-    """The program is running; sent at once in answer to start or attach."""
+    """The program is running; sent at once in reply to start or attach."""
 
     request: str
     program: str
@@ -383,7 +383,7 @@
 
 
 class ProgramList(NamedTuple):
-    """The answer of a primary to `ListPrograms`."""
+    """Reply of a primary to `ListPrograms`."""
 
     request: str
     rows: tuple[ProgramRow, ...]
--- a/wisteriastair/keeper/log.py
+++ b/wisteriastair/keeper/log.py
@@ -30,7 +30,7 @@
 SEGMENT_BYTES: Final = 8 * 1024 * 1024
 MAX_RECORD_BYTES: Final = 64 * 1024 * 1024
 IDENTITY_FILE: Final = "identity"
-SEGMENT_PREFIX: Final = "ledger-"
+SEGMENT_FILE_PREFIX: Final = "ledger-"
 DISK_ID_BYTES: Final = 8
 
 
@@ -170,13 +170,13 @@
     def _segment_numbers(self) -> list[int]:
         names = os.listdir(self._folder)
         return sorted(
-            int(name.removeprefix(SEGMENT_PREFIX))
+            int(name.removeprefix(SEGMENT_FILE_PREFIX))
             for name in names
-            if name.startswith(SEGMENT_PREFIX)
+            if name.startswith(SEGMENT_FILE_PREFIX)
         )
 
     def _path(self, number: int) -> str:
-        return os.path.join(self._folder, f"{SEGMENT_PREFIX}{number:08d}")
+        return os.path.join(self._folder, f"{SEGMENT_FILE_PREFIX}{number:08d}")
 
     def _read_segment(self, number: int) -> tuple[list[Record], int]:
         with open(self._path(number), "rb") as file:
--- a/wisteriastair/metrics.py
+++ b/wisteriastair/metrics.py
@@ -91,7 +91,7 @@
 
 
 def metrics_route(collector: Collector) -> Route:
-    """Make the route that answers scrapes."""
+    """Create the HTTP route that serves metrics."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(collector)
 
--- a/wisteriastair/nodemetrics.py
+++ b/wisteriastair/nodemetrics.py
@@ -141,7 +141,7 @@
 
 
 class MetricsHandler(Handler):
-    """Answers scrapes."""
+    """Serves the metrics of a process."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
         self._registry = registry
--- a/wisteriastair/relay/handler.py
+++ b/wisteriastair/relay/handler.py
@@ -85,7 +85,7 @@
         self._metrics = metrics
 
     def is_closing(self) -> bool:
-        """Whether connections are closed after their next answer.
+        """Whether connections are closed after their next response.
 
         An open connection stays with its process, so its caller would get refusals for
         as long as this process is not ready.  The platform routes new connections to
--- a/wisteriastair/relay/job.py
+++ b/wisteriastair/relay/job.py
@@ -115,7 +115,7 @@
         return scoped_name(self.customer_name or "", name)
 
     def remaining_s(self) -> float:
-        """Seconds until the answer must be complete."""
+        """Seconds until the response must be complete."""
         return self.deadline - self.now()
 
     def elapsed_s(self) -> float:
--- a/wisteriastair/relay/permission.py
+++ b/wisteriastair/relay/permission.py
@@ -66,6 +66,6 @@
                 return Failure(Code.QUOTA_UNREACHABLE, detail, "no", HOLDERS_RETRY_S)
 
     def cancel(self) -> None:
-        """Stop waiting for the permit; a late answer is ignored."""
+        """Stop waiting for the permit; a late reply is ignored."""
         if self._pending is not None:
             self._quota.cancel(self._pending)
--- a/wisteriastair/relay/quota.py
+++ b/wisteriastair/relay/quota.py
@@ -144,7 +144,7 @@
         return pending
 
     def receive(self, reply: PermitReply) -> None:
-        """Process a holder's answer."""
+        """Process a holder's reply."""
         pending = self._pending.pop(reply.op, None)
         if pending is not None:
             pending.permit = reply.permit
